--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -12,7 +12,7 @@
 
 struct Post {
   std::string to;
-  replication::Event event;
+  replication::GroupEvent event;
 };
 
 struct Group {
@@ -21,12 +21,12 @@
   std::vector<replication::Member> members;
   std::deque<Post> posts;
 
-  void step(std::string const& id, replication::Event const& event) {
-    for (replication::Effect const& effect : groups.at(id).step(now, event)) {
+  void step(std::string const& id, replication::GroupEvent const& event) {
+    for (replication::GroupEffect const& effect : groups.at(id).step(now, event)) {
       if (replication::Send const* const send = std::get_if<replication::Send>(&effect)) {
-        posts.push_back({send->to, replication::Received{id, id, send->message}});
+        posts.push_back({send->to, replication::MessageReceived{id, id, send->message}});
       } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
-        posts.push_back({id, replication::Persisted{persist->token, true}});
+        posts.push_back({id, replication::PersistFinished{persist->token, true}});
       } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
         std::cout << id << " committed: " << committed->state.document << '\n';
       }
@@ -65,7 +65,7 @@
   Group group;
   for (std::string const id : {"ada", "bea", "cleo"}) {
     group.members.push_back({id, id, "zone"});
-    group.groups.emplace(id, replication::ReplicationGroup(replication::Policy{}));
+    group.groups.emplace(id, replication::ReplicationGroup(replication::ReplicationOptions{}));
   }
   for (replication::Member const& member : group.members) {
     group.step(member.id,
@@ -76,12 +76,12 @@
   std::cout << "primary " << first << '\n';
   messages::State state;
   state.document = "kept";
-  group.step(first, replication::Offer{1, state});
+  group.step(first, replication::Proposal{1, state});
   group.run(milliseconds(500));
   group.groups.erase(first);
   group.run(milliseconds(5000));
   std::string const second = group.primary();
   std::cout << "primary " << second << " has " << group.groups.at(second).state().document << '\n';
-  std::cout << "home " << distribution::rankHomes("service/logs", {"m01", "m02", "m03"}).front() << '\n';
+  std::cout << "home " << distribution::rankByRendezvousHash("service/logs", {"m01", "m02", "m03"}).front() << '\n';
   return !first.empty() && second != first && group.groups.at(second).state().document == "kept" ? 0 : 1;
 }
--- a/libs/config/src/configuration.cpp
+++ b/libs/config/src/configuration.cpp
@@ -10,8 +10,8 @@
 namespace limeramp::config {
 namespace {
 
-constexpr std::chrono::milliseconds leastDeadlineMs{10};
-constexpr std::chrono::milliseconds mostDeadlineMs{60'000};
+constexpr std::chrono::milliseconds minDeadlineMs{10};
+constexpr std::chrono::milliseconds maxDeadlineMs{60'000};
 
 void checkPrefix(Reader& reader, std::string const& prefix) {
   if (!prefix.empty() && prefix.front() != '/') {
@@ -171,8 +171,8 @@
       reader.complain("minimum_shards", "is above the number of shards");
     }
     search.max_attempts = reader.whole("max_attempts", search.max_attempts, 1, 8);
-    search.deadlineMs = reader.durationMs("deadline_ms", search.deadlineMs, leastDeadlineMs, mostDeadlineMs);
-    search.aimMs = reader.durationMs("aim_ms", search.aimMs, std::chrono::milliseconds(0), mostDeadlineMs);
+    search.deadlineMs = reader.durationMs("deadline_ms", search.deadlineMs, minDeadlineMs, maxDeadlineMs);
+    search.aimMs = reader.durationMs("aim_ms", search.aimMs, std::chrono::milliseconds(0), maxDeadlineMs);
     search.priority = reader.whole("priority", search.priority, 0, 100);
     configuration.searches.push_back(std::move(search));
   });
@@ -183,8 +183,8 @@
     readChoices(reader, configuration, route);
     route.max_attempts = reader.whole("max_attempts", route.max_attempts, 1, 8);
     route.repeatable = reader.flag("repeatable", false);
-    route.deadlineMs = reader.durationMs("deadline_ms", route.deadlineMs, leastDeadlineMs, mostDeadlineMs);
-    route.aimMs = reader.durationMs("aim_ms", route.aimMs, std::chrono::milliseconds(0), mostDeadlineMs);
+    route.deadlineMs = reader.durationMs("deadline_ms", route.deadlineMs, minDeadlineMs, maxDeadlineMs);
+    route.aimMs = reader.durationMs("aim_ms", route.aimMs, std::chrono::milliseconds(0), maxDeadlineMs);
     route.priority = reader.whole("priority", route.priority, 0, 100);
     configuration.routes.push_back(std::move(route));
   });
--- a/libs/control/include/limeramp/control/answer_gate.h
+++ b/libs/control/include/limeramp/control/answer_gate.h
@@ -13,30 +13,30 @@
 /// decides, never the length of a time.
 namespace limeramp::control {
 
-struct HeldAnswer {
+struct PendingAnswer {
   std::uint64_t ticket = 0;
   TimePoint arrivedAt;
   TimePoint deadline;
   /// What to answer; empty for a read, which is answered from the state at its release.
-  std::optional<Decided> decision;
+  std::optional<OrderOutcome> decision;
 };
 
 class AnswerGate {
  public:
-  std::size_t size() const { return held_.size(); }
-  void hold(HeldAnswer answer) { held_.push_back(std::move(answer)); }
+  std::size_t size() const { return pending_.size(); }
+  void add(PendingAnswer answer) { pending_.push_back(std::move(answer)); }
 
   /// Takes out the answers of calls that came before the confirmation began.
-  std::vector<HeldAnswer> takeConfirmed(std::optional<TimePoint> leadershipConfirmedAt);
+  std::vector<PendingAnswer> takeConfirmed(std::optional<TimePoint> leadershipConfirmedAt);
   /// Takes out the answers whose deadline has passed.
-  std::vector<HeldAnswer> takeExpired(TimePoint now);
+  std::vector<PendingAnswer> takeExpired(TimePoint now);
   /// Takes out all: the leadership ended.
-  std::vector<HeldAnswer> takeAll();
+  std::vector<PendingAnswer> takeAll();
 
   void digest(messages::StateDigest& digest) const;
 
  private:
-  std::vector<HeldAnswer> held_;
+  std::vector<PendingAnswer> pending_;
 };
 
 /// True if a confirmation that began at `leadershipConfirmedAt` covers a call that came at `arrivedAt`.
--- a/libs/control/include/limeramp/control/config_service.h
+++ b/libs/control/include/limeramp/control/config_service.h
@@ -17,7 +17,7 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
-struct Policy {
+struct ConfigServiceOptions {
   std::chrono::milliseconds nodeCurrentMs{2000};
   std::chrono::milliseconds silentGraceMs{500};
   std::chrono::milliseconds leadershipConfirmationMs{1200};
@@ -27,12 +27,12 @@
   std::chrono::milliseconds probeAfterMs{450};
   std::chrono::milliseconds probeEveryMs{250};
   std::chrono::milliseconds gonePersistsMs{1000};
-  std::size_t mostChanges = 64;
-  std::size_t mostWaitingAnswers = 256;
-  std::size_t mostReceipts = 256;
-  std::size_t mostNodes = 1000;
-  std::size_t mostEvacuatedZones = 100;
-  std::size_t mostDocumentBytes = 1 << 20;
+  std::size_t maxChanges = 64;
+  std::size_t maxWaitingAnswers = 256;
+  std::size_t maxReceipts = 256;
+  std::size_t maxNodes = 1000;
+  std::size_t maxEvacuatedZones = 100;
+  std::size_t maxDocumentBytes = 1 << 20;
 };
 
 struct ZoneOrder {
@@ -60,39 +60,40 @@
 };
 
 struct Tick {};
-struct Polled {
+struct StateRequestReceived {
   std::string address;
-  messages::Poll poll;
+  messages::StateRequest poll;
 };
-struct Probed {
+struct ProbeFinished {
   std::uint64_t token = 0;
   bool gone = false;
 };
-struct Forget {
+struct RemoveNodes {
   std::uint64_t ticket = 0;
   std::vector<std::string> nodes;
   TimePoint deadline;
 };
 
 /// The process will be stopped: take no new orders, finish what was begun.
-struct Retire {};
+struct BeginShutdown {};
 
-using Event = std::variant<replication::Active, replication::Inactive, replication::Committed, replication::Doubtful,
-                           Change, Read, Polled, Probed, Forget, Tick, Retire>;
+using ConfigServiceEvent = std::variant<replication::BecamePrimary, replication::SteppedDown, replication::Committed,
+                                        replication::OutcomeUnknown, Change, Read, StateRequestReceived, ProbeFinished,
+                                        RemoveNodes, Tick, BeginShutdown>;
 
 /// How an order ended. `taken`, `refused` and `conflict` are definite and linearizable. `notRun`: this call changed
 /// nothing and will change nothing. `unknown`: it may have taken effect, or may still do so.
-enum class Verdict { taken, refused, conflict, notRun, unknown };
+enum class OrderStatus { taken, refused, conflict, notRun, unknown };
 
-struct Decided {
+struct OrderOutcome {
   std::uint64_t ticket = 0;
-  Verdict verdict = Verdict::unknown;
+  OrderStatus verdict = OrderStatus::unknown;
   config::Version version;
   std::vector<config::Problem> problems;
   std::string reason;
 };
 
-struct ReadBack {
+struct ConfigurationRead {
   std::uint64_t ticket = 0;
   config::Version version;
   std::uint64_t revision = 0;
@@ -105,8 +106,8 @@
   std::string address;
 };
 
-using Effect =
-    std::variant<replication::Offer, Decided, ReadBack, distribution::Outgoing, Probe, replication::LogEntry>;
+using ConfigServiceEffect = std::variant<replication::Proposal, OrderOutcome, ConfigurationRead, distribution::Outgoing,
+                                         Probe, replication::LogEntry>;
 
 struct NodeView {
   std::string node;
@@ -114,21 +115,23 @@
   std::string zone;
   std::uint64_t slot = 0;
   config::Version confirmed;
-  std::chrono::milliseconds heardMs{0};
-  bool everHeard = false;
+  std::chrono::milliseconds sinceReportMs{0};
+  bool everReported = false;
   bool gone = false;
 };
 
-class Plane {
+class ConfigService {
  public:
-  Plane(Policy const& policy, std::string const& id, config::Language language = config::ownLanguage());
-  ~Plane();
-  Plane(Plane const&);
-  Plane(Plane&&) noexcept;
-  Plane& operator=(Plane const&);
-  Plane& operator=(Plane&&) noexcept;
-
-  std::vector<Effect> step(TimePoint now, replication::ReplicationGroup const& group, Event const& event);
+  ConfigService(ConfigServiceOptions const& options, std::string const& id,
+                config::Language language = config::ownLanguage());
+  ~ConfigService();
+  ConfigService(ConfigService const&);
+  ConfigService(ConfigService&&) noexcept;
+  ConfigService& operator=(ConfigService const&);
+  ConfigService& operator=(ConfigService&&) noexcept;
+
+  std::vector<ConfigServiceEffect> step(TimePoint now, replication::ReplicationGroup const& group,
+                                        ConfigServiceEvent const& event);
 
   bool active() const;
   messages::State const& published() const;
--- a/libs/control/include/limeramp/control/control_server.h
+++ b/libs/control/include/limeramp/control/control_server.h
@@ -3,7 +3,7 @@
 #include "limeramp/config/configuration.h"
 #include "limeramp/config/settings.h"
 #include "limeramp/config/settings_file.h"
-#include "limeramp/control/dialect.h"
+#include "limeramp/control/operator_protocol_adapter.h"
 
 #include <memory>
 #include <string>
@@ -20,7 +20,7 @@
   /// Opens the disk folder, takes the addresses that the settings name, and begins. Without a folder it keeps nothing.
   /// @return nothing, with the reason in `error`, if the folder or an address cannot be used
   static std::unique_ptr<ControlServer> start(config::Settings const& settings, std::string& error,
-                                              OperatorDialect const& dialect = {},
+                                              OperatorProtocolAdapter const& dialect = {},
                                               config::Language const& language = config::ownLanguage());
   ~ControlServer();
   ControlServer(ControlServer const&) = delete;
--- a/libs/control/include/limeramp/control/operator_api.h
+++ b/libs/control/include/limeramp/control/operator_api.h
@@ -10,7 +10,7 @@
 namespace limeramp::control {
 
 constexpr char const* configurationPath = "/limeramp/configuration";
-constexpr char const* forgetPath = "/limeramp/forget";
+constexpr char const* removeNodesPath = "/limeramp/forget";
 constexpr char const* deadlineHeader = "limeramp-deadline-ms";
 constexpr char const* revisionHeader = "limeramp-revision";
 /// Names an order; the answer that decides it carries the name back.
@@ -25,11 +25,11 @@
 /// Reads an order that came at `arrivedAt`. Without a key of the caller's, its key is derived from the content and the
 /// base alone, so that a repetition has the same one at every node.
 std::variant<Change, net::Answer> readChange(net::Request const& request, TimePoint arrivedAt);
-std::variant<std::vector<std::string>, net::Answer> readForget(std::string const& body);
+std::variant<std::vector<std::string>, net::Answer> readRemoveNodes(std::string const& body);
 std::variant<std::string, net::Answer> readForceNewGroup(std::string const& body);
 bool provesGone(net::Exchange const& exchange, std::string const& node);
-net::Answer answerOf(Decided const& decided, std::string const& change);
-net::Answer answerOf(ReadBack const& back);
+net::Answer answerOf(OrderOutcome const& decided, std::string const& change);
+net::Answer answerOf(ConfigurationRead const& back);
 /// The order that an answer of a primary decides: by its header, or by its body if an older version wrote it.
 std::optional<std::string> decidedChange(net::Answer const& answer);
 net::Answer relayAnswer(net::Exchange const& exchange, std::string const& change);
--- a/libs/control/include/limeramp/control/order_evaluator.h
+++ b/libs/control/include/limeramp/control/order_evaluator.h
@@ -12,7 +12,7 @@
 namespace limeramp::control {
 
 /// The order is new and valid here: this state is to be replicated.
-struct Proposal {
+struct NewState {
   messages::State next;
 };
 
@@ -24,16 +24,16 @@
 /// The order is not carried out. `conflict` and `refused` say that it never was and is not in force; `unknown` says
 /// that the state does not tell any more.
 struct Rejection {
-  Verdict verdict = Verdict::refused;
+  OrderStatus verdict = OrderStatus::refused;
   std::string reason;
   std::vector<config::Problem> problems;
 };
 
-using Evaluation = std::variant<Proposal, AlreadyTaken, Rejection>;
+using Evaluation = std::variant<NewState, AlreadyTaken, Rejection>;
 
 class OrderEvaluator {
  public:
-  OrderEvaluator(Policy const& policy, config::Language language);
+  OrderEvaluator(ConfigServiceOptions const& options, config::Language language);
 
   /// `epoch` is the one under which the primary would write the next state.
   Evaluation evaluate(Change const& order, messages::State const& state, std::uint64_t epoch) const;
@@ -44,7 +44,7 @@
   Evaluation evaluateNew(Change const& change, messages::State const& state, std::uint64_t epoch) const;
   std::variant<std::string, Rejection> documentOf(Change const& change, messages::State const& state) const;
 
-  Policy policy_;
+  ConfigServiceOptions options_;
   config::Language language_;
 };
 
--- a/libs/control/include/limeramp/control/runner.h
+++ b/libs/control/include/limeramp/control/order_forwarder.h
@@ -9,23 +9,23 @@
 
 namespace limeramp::control {
 
-struct RunBack {
+struct ForwardFinished {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   net::Exchange exchange;
 };
 
-class Runner {
+class OrderForwarder {
  public:
-  using Post = std::function<void(RunBack)>;
-  Runner(net::HttpClient& client, std::string const& advertise, std::uint64_t firstAttempt, Post post);
-  ~Runner();
-  Runner(Runner const&) = delete;
-  Runner& operator=(Runner const&) = delete;
+  using Post = std::function<void(ForwardFinished)>;
+  OrderForwarder(net::HttpClient& client, std::string const& advertise, std::uint64_t firstAttempt, Post post);
+  ~OrderForwarder();
+  OrderForwarder(OrderForwarder const&) = delete;
+  OrderForwarder& operator=(OrderForwarder const&) = delete;
 
   /// Forwards an order or a read that came at `arrivedAt`; its deadline counts from then.
   void take(TimePoint now, TimePoint arrivedAt, net::Request content, net::Responder respond);
-  void hear(TimePoint now, RunBack& back);
+  void onFinished(TimePoint now, ForwardFinished& back);
   void tick(TimePoint now, std::string const& primaryAddress);
 
  private:
--- a/libs/control/include/limeramp/control/relay.h
+++ b/libs/control/include/limeramp/control/relay.h
@@ -10,12 +10,12 @@
 
 namespace limeramp::control {
 
-struct RelayPolicy {
-  std::size_t mostRelays = 256;
+struct RelayOptions {
+  std::size_t maxRelays = 256;
   std::chrono::milliseconds againMs{200};
 };
 
-struct RelayAsked {
+struct RelayRequested {
   std::uint64_t ticket = 0;
   TimePoint deadline;
 };
@@ -31,13 +31,13 @@
   /// No answer, or one that decides nothing.
   mayHaveRun
 };
-struct RelayReturned {
+struct RelayAttemptFinished {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   RelayOutcome outcome = RelayOutcome::mayHaveRun;
 };
 
-using RelayEvent = std::variant<RelayAsked, RelayPrimary, RelayReturned, Tick>;
+using RelayEvent = std::variant<RelayRequested, RelayPrimary, RelayAttemptFinished, Tick>;
 
 struct RelaySend {
   std::uint64_t ticket = 0;
@@ -52,11 +52,11 @@
   std::uint64_t ticket = 0;
 };
 
-using RelayEffect = std::variant<RelaySend, RelayCancel, RelayDone, Decided>;
+using RelayEffect = std::variant<RelaySend, RelayCancel, RelayDone, OrderOutcome>;
 
 class Relay {
  public:
-  Relay(RelayPolicy const& policy, std::uint64_t firstAttempt);
+  Relay(RelayOptions const& options, std::uint64_t firstAttempt);
   ~Relay();
   Relay(Relay&&) noexcept;
   Relay& operator=(Relay&&) noexcept;
--- a/libs/control/src/answer_gate.cpp
+++ b/libs/control/src/answer_gate.cpp
@@ -7,30 +7,31 @@
 namespace limeramp::control {
 namespace {
 
-std::vector<HeldAnswer> takeIf(std::vector<HeldAnswer>& held, std::function<bool(HeldAnswer const&)> const& wanted) {
-  std::vector<HeldAnswer>::iterator const first =
-      std::stable_partition(held.begin(), held.end(), [&](HeldAnswer const& answer) { return !wanted(answer); });
-  std::vector<HeldAnswer> out(std::make_move_iterator(first), std::make_move_iterator(held.end()));
+std::vector<PendingAnswer> takeIf(std::vector<PendingAnswer>& held,
+                                  std::function<bool(PendingAnswer const&)> const& wanted) {
+  std::vector<PendingAnswer>::iterator const first =
+      std::stable_partition(held.begin(), held.end(), [&](PendingAnswer const& answer) { return !wanted(answer); });
+  std::vector<PendingAnswer> out(std::make_move_iterator(first), std::make_move_iterator(held.end()));
   held.erase(first, held.end());
   return out;
 }
 
 }  // namespace
 
-std::vector<HeldAnswer> AnswerGate::takeConfirmed(std::optional<TimePoint> leadershipConfirmedAt) {
-  return takeIf(held_,
-                [&](HeldAnswer const& answer) { return confirmedSince(leadershipConfirmedAt, answer.arrivedAt); });
+std::vector<PendingAnswer> AnswerGate::takeConfirmed(std::optional<TimePoint> leadershipConfirmedAt) {
+  return takeIf(pending_,
+                [&](PendingAnswer const& answer) { return confirmedSince(leadershipConfirmedAt, answer.arrivedAt); });
 }
 
-std::vector<HeldAnswer> AnswerGate::takeExpired(TimePoint now) {
-  return takeIf(held_, [&](HeldAnswer const& answer) { return now >= answer.deadline; });
+std::vector<PendingAnswer> AnswerGate::takeExpired(TimePoint now) {
+  return takeIf(pending_, [&](PendingAnswer const& answer) { return now >= answer.deadline; });
 }
 
-std::vector<HeldAnswer> AnswerGate::takeAll() { return std::exchange(held_, {}); }
+std::vector<PendingAnswer> AnswerGate::takeAll() { return std::exchange(pending_, {}); }
 
 void AnswerGate::digest(messages::StateDigest& digest) const {
-  digest.add(held_.size());
-  for (HeldAnswer const& held : held_) {
+  digest.add(pending_.size());
+  for (PendingAnswer const& held : pending_) {
     digest.add(held.ticket);
     digest.add(held.arrivedAt);
     digest.add(held.deadline);
--- a/libs/control/src/config_service.cpp
+++ b/libs/control/src/config_service.cpp
@@ -18,7 +18,7 @@
 
 using Ms = std::chrono::milliseconds;
 
-struct Forgetting {
+struct NodeRemoval {
   std::uint64_t ticket = 0;
   std::set<std::string> nodes;
   TimePoint arrivedAt{};
@@ -26,9 +26,9 @@
 };
 
 /// An order that is taken, and is acknowledged once enough nodes have it in force.
-struct Waiting {
+struct PendingAcknowledgement {
   std::uint64_t ticket = 0;
-  StateVersion mark;
+  StateVersion stateVersion;
   config::Version version;
   TimePoint since{};
   TimePoint deadline{};
@@ -50,93 +50,94 @@
 
 }  // namespace
 
-struct Plane::Impl {
-  Impl(Policy const& policyIn, std::string const& idIn, config::Language language)
-      : policy(policyIn), id(idIn), evaluator(policyIn, std::move(language)) {}
+struct ConfigService::Impl {
+  Impl(ConfigServiceOptions const& optionsIn, std::string const& idIn, config::Language language)
+      : options(optionsIn), id(idIn), evaluator(optionsIn, std::move(language)) {}
 
-  Policy policy;
+  ConfigServiceOptions options;
   std::string id;
   OrderEvaluator evaluator;
   TimePoint now{};
   /// ReplicationGroup::leadershipConfirmedAt at this step.
   std::optional<TimePoint> confirmedAt;
-  std::vector<Effect> effects;
+  std::vector<ConfigServiceEffect> effects;
   bool active = false;
-  bool retiring = false;
+  bool shuttingDown = false;
   TimePoint activeAt{};
   messages::State published;
   TimePoint publishedAt{};
-  NodeTracker tracker{policy};
+  NodeTracker tracker{options};
   distribution::StateFeed feed;
-  std::vector<Forgetting> forgetting;
+  std::vector<NodeRemoval> removals;
   std::deque<QueuedOrder> queue;
-  std::optional<Change> working;
-  bool workingAnswered = false;
+  std::optional<Change> inProgress;
+  bool inProgressAnswered = false;
   std::uint64_t lastOwnTicket = 1ULL << 60;
-  std::uint64_t workingTicket = 0;
-  std::vector<Waiting> waiting;
+  std::uint64_t inProgressTicket = 0;
+  std::vector<PendingAcknowledgement> acknowledgements;
   AnswerGate reads;
   AnswerGate refusals;
-  bool stable = false;
+  bool rosterStable = false;
   TimePoint nextRosterAt{};
 
-  void on(replication::ReplicationGroup const& group, replication::Active const& event);
-  void on(replication::ReplicationGroup const& group, replication::Inactive const& event);
+  void on(replication::ReplicationGroup const& group, replication::BecamePrimary const& event);
+  void on(replication::ReplicationGroup const& group, replication::SteppedDown const& event);
   void on(replication::ReplicationGroup const& group, replication::Committed const& event);
-  void on(replication::ReplicationGroup const& group, replication::Doubtful const& event);
+  void on(replication::ReplicationGroup const& group, replication::OutcomeUnknown const& event);
   void on(replication::ReplicationGroup const& group, Change const& event);
   void on(replication::ReplicationGroup const& group, Read const& event);
-  void on(replication::ReplicationGroup const& group, Polled const& event);
-  void on(replication::ReplicationGroup const& group, Probed const& event);
-  void on(replication::ReplicationGroup const& group, Forget const& event);
+  void on(replication::ReplicationGroup const& group, StateRequestReceived const& event);
+  void on(replication::ReplicationGroup const& group, ProbeFinished const& event);
+  void on(replication::ReplicationGroup const& group, RemoveNodes const& event);
   void on(replication::ReplicationGroup const& group, Tick const& event);
-  void on(replication::ReplicationGroup const& group, Retire const& event);
+  void on(replication::ReplicationGroup const& group, BeginShutdown const& event);
 
-  StateVersion mark() const { return published.version(); }
-  void decide(std::uint64_t ticket, Verdict verdict, std::string reason = "", config::Version version = {},
+  StateVersion stateVersion() const { return published.version(); }
+  void decide(std::uint64_t ticket, OrderStatus verdict, std::string reason = "", config::Version version = {},
               std::vector<config::Problem> problems = {}) {
-    effects.emplace_back(Decided{ticket, verdict, version, std::move(problems), std::move(reason)});
+    effects.emplace_back(OrderOutcome{ticket, verdict, version, std::move(problems), std::move(reason)});
   }
   /// The backups have been silent for so long that another primary may lead soon. Spares callers the wait for an answer
   /// that would not come; what may be answered is decided by `confirmedSince` alone.
-  bool isUnconfirmed() const { return now - confirmedAt.value_or(activeAt) > policy.leadershipConfirmationMs; }
+  bool isUnconfirmed() const { return now - confirmedAt.value_or(activeAt) > options.leadershipConfirmationMs; }
   bool mayLead() const { return active && !isUnconfirmed(); }
   /// Why this node cannot carry out an order now; empty if it can.
   std::string whyNot() const {
     return !active ? "this node is not the primary" : isUnconfirmed() ? "the backup is not heard" : "";
   }
-  std::size_t waitingAnswers() const { return waiting.size() + refusals.size() + forgetting.size(); }
-  bool majority(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted) const {
-    return tracker.majority(roster, wanted, published.epoch);
+  std::size_t waitingAnswers() const { return acknowledgements.size() + refusals.size() + removals.size(); }
+  bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted) const {
+    return tracker.majorityConfirmed(roster, wanted, published.epoch);
   }
-  bool everyone(StateVersion const& wanted) const {
-    return tracker.everyone(published.roster, wanted, published.epoch);
+  bool allConfirmed(StateVersion const& wanted) const {
+    return tracker.allConfirmed(published.roster, wanted, published.epoch);
   }
-  void note(messages::Follower const& follower, messages::PeerStatus const& peerStatus, bool direct);
+  void recordReport(messages::Follower const& follower, messages::PeerStatus const& peerStatus, bool direct);
   void probe();
-  void settleForgetting();
+  void completeRemovals();
   void publish(messages::State const& state);
-  void pump(replication::ReplicationGroup const& group);
+  void startNext(replication::ReplicationGroup const& group);
   bool offerRoster(replication::ReplicationGroup const& group);
   void begin(replication::ReplicationGroup const& group, QueuedOrder const& queued);
-  void begin(QueuedOrder const& queued, Proposal proposal);
+  void begin(QueuedOrder const& queued, NewState proposal);
   void begin(QueuedOrder const& queued, AlreadyTaken const& taken);
   void begin(QueuedOrder const& queued, Rejection rejection);
-  void holdRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline, Decided refusal);
+  void deferRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline, OrderOutcome refusal);
   void rejectQueued(std::string const& reason);
-  void settle();
+  void completeAcknowledged();
   void releaseConfirmed();
   void expire();
-  messages::News news(messages::Poll const& poll, replication::ReplicationGroup const& group) const;
+  messages::StateResponse response(messages::StateRequest const& poll,
+                                   replication::ReplicationGroup const& group) const;
   void digestOrders(messages::StateDigest& digest) const;
 };
 
-void Plane::Impl::probe() {
+void ConfigService::Impl::probe() {
   if (!active) {
     return;
   }
   std::vector<messages::RosterEntry> wanted = published.roster;
-  if (!stable) {
+  if (!rosterStable) {
     wanted.insert(wanted.end(), published.priorRoster.begin(), published.priorRoster.end());
   }
   for (Probe& due : tracker.probesDue(now, wanted)) {
@@ -144,19 +145,19 @@
   }
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const& group, Probed const& event) {
+void ConfigService::Impl::on(replication::ReplicationGroup const& group, ProbeFinished const& event) {
   tracker.probed(event);
-  settle();
-  pump(group);
+  completeAcknowledged();
+  startNext(group);
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const& group, Forget const& event) {
-  if (std::string const reason = retiring ? "this node is leaving" : whyNot(); !reason.empty()) {
-    decide(event.ticket, Verdict::notRun, reason);
+void ConfigService::Impl::on(replication::ReplicationGroup const& group, RemoveNodes const& event) {
+  if (std::string const reason = shuttingDown ? "this node is leaving" : whyNot(); !reason.empty()) {
+    decide(event.ticket, OrderStatus::notRun, reason);
     return;
   }
-  if (forgetting.size() >= policy.mostChanges || waitingAnswers() >= policy.mostWaitingAnswers) {
-    decide(event.ticket, Verdict::notRun, "too many changes wait");
+  if (removals.size() >= options.maxChanges || waitingAnswers() >= options.maxWaitingAnswers) {
+    decide(event.ticket, OrderStatus::notRun, "too many changes wait");
     return;
   }
   std::vector<config::Problem> problems;
@@ -172,43 +173,45 @@
     }
   }
   if (!problems.empty()) {
-    holdRefusal(event.ticket, now, event.deadline, {event.ticket, Verdict::refused, {}, std::move(problems), ""});
+    deferRefusal(event.ticket, now, event.deadline, {event.ticket, OrderStatus::refused, {}, std::move(problems), ""});
     return;
   }
   for (std::string const& node : event.nodes) {
-    tracker.forget(node);
+    tracker.markRemoved(node);
   }
-  forgetting.push_back({event.ticket, {event.nodes.begin(), event.nodes.end()}, now, event.deadline});
+  removals.push_back({event.ticket, {event.nodes.begin(), event.nodes.end()}, now, event.deadline});
   nextRosterAt = now;
-  settle();
-  pump(group);
+  completeAcknowledged();
+  startNext(group);
 }
 
-void Plane::Impl::settleForgetting() {
-  std::erase_if(forgetting, [&](Forgetting const& entry) {
+void ConfigService::Impl::completeRemovals() {
+  std::erase_if(removals, [&](NodeRemoval const& entry) {
     bool const listed = std::any_of(published.roster.begin(), published.roster.end(),
                                     [&](messages::RosterEntry const& row) { return entry.nodes.contains(row.node); });
-    if (stable && !listed && confirmedSince(confirmedAt, entry.arrivedAt)) {
-      decide(entry.ticket, Verdict::taken, "", {published.configurationEpoch, published.configurationSequence});
+    if (rosterStable && !listed && confirmedSince(confirmedAt, entry.arrivedAt)) {
+      decide(entry.ticket, OrderStatus::taken, "", {published.configurationEpoch, published.configurationSequence});
       return true;
     }
     if (now >= entry.deadline) {
-      decide(entry.ticket, Verdict::unknown, "the roster without these nodes is not known to a majority yet");
+      decide(entry.ticket, OrderStatus::unknown, "the roster without these nodes is not known to a majority yet");
       return true;
     }
     return false;
   });
 }
 
-void Plane::Impl::note(messages::Follower const& follower, messages::PeerStatus const& peerStatus, bool direct) {
+void ConfigService::Impl::recordReport(messages::Follower const& follower, messages::PeerStatus const& peerStatus,
+                                       bool direct) {
   if (!tracker.report(now, follower, peerStatus, direct)) {
     effects.emplace_back(replication::LogEntry{
-        logging::Event::peerStrange, follower.node + " is at two addresses, one of them " + follower.address});
+        logging::Event::peerUnexpected, follower.node + " is at two addresses, one of them " + follower.address});
   }
 }
 
-messages::News Plane::Impl::news(messages::Poll const& poll, replication::ReplicationGroup const& group) const {
-  messages::News out;
+messages::StateResponse ConfigService::Impl::response(messages::StateRequest const& poll,
+                                                      replication::ReplicationGroup const& group) const {
+  messages::StateResponse out;
   out.token = poll.token;
   out.node = id;
   out.primaryAddress = group.decided().primary != group.id() || mayLead() ? group.primaryAddress() : "";
@@ -228,21 +231,21 @@
   return out;
 }
 
-void Plane::Impl::publish(messages::State const& state) {
+void ConfigService::Impl::publish(messages::State const& state) {
   bool const sameRoster = StateVersion{state.rosterEpoch, state.rosterSequence} ==
                           StateVersion{published.rosterEpoch, published.rosterSequence};
-  stable = stable && sameRoster;
+  rosterStable = rosterStable && sameRoster;
   bool const onlyRoster = !sameRoster && state.evacuatedZones == published.evacuatedZones &&
                           StateVersion{state.configurationEpoch, state.configurationSequence} ==
                               StateVersion{published.configurationEpoch, published.configurationSequence};
   feed.replaced(now, published);
   published = state;
   publishedAt = now;
-  tracker.published(now, mark());
+  tracker.published(now, stateVersion());
   if (onlyRoster) {
     return;
   }
-  messages::News out;
+  messages::StateResponse out;
   out.node = id;
   out.epoch = published.epoch;
   out.sequence = published.sequence;
@@ -251,136 +254,139 @@
   }
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const&, replication::Active const& event) {
+void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::BecamePrimary const& event) {
   active = true;
   activeAt = now;
-  stable = false;
+  rosterStable = false;
   tracker.begin(now);
   publish(event.state);
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const&, replication::Inactive const&) {
+void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::SteppedDown const&) {
   active = false;
   rejectQueued("the primary changed before the change was begun");
-  for (Waiting const& entry : waiting) {
-    decide(entry.ticket, Verdict::unknown, "the primary changed while the change was carried out");
+  for (PendingAcknowledgement const& entry : acknowledgements) {
+    decide(entry.ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
   }
-  waiting.clear();
+  acknowledgements.clear();
   for (AnswerGate* const gate : {&reads, &refusals}) {
-    for (HeldAnswer const& held : gate->takeAll()) {
-      decide(held.ticket, Verdict::notRun, "this node is not the primary");
+    for (PendingAnswer const& held : gate->takeAll()) {
+      decide(held.ticket, OrderStatus::notRun, "this node is not the primary");
     }
   }
-  for (Forgetting const& entry : forgetting) {
-    decide(entry.ticket, Verdict::unknown, "the primary changed before the roster was known to be without these nodes");
+  for (NodeRemoval const& entry : removals) {
+    decide(entry.ticket, OrderStatus::unknown,
+           "the primary changed before the roster was known to be without these nodes");
   }
-  forgetting.clear();
+  removals.clear();
   tracker.end();
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const&, replication::Committed const& event) {
+void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::Committed const& event) {
   publish(event.state);
-  if (event.ticket == workingTicket && working) {
+  if (event.ticket == inProgressTicket && inProgress) {
     config::Version const version{published.configurationEpoch, published.configurationSequence};
-    if (!workingAnswered) {
-      waiting.push_back({working->ticket, mark(), version, now, working->deadline, std::nullopt});
+    if (!inProgressAnswered) {
+      acknowledgements.push_back(
+          {inProgress->ticket, stateVersion(), version, now, inProgress->deadline, std::nullopt});
     }
     effects.emplace_back(
-        replication::LogEntry{logging::Event::configurationTaken, version.text() + " change " + working->id});
+        replication::LogEntry{logging::Event::configurationTaken, version.text() + " change " + inProgress->id});
   }
-  if (event.ticket == workingTicket) {
-    working.reset();
-    workingTicket = 0;
+  if (event.ticket == inProgressTicket) {
+    inProgress.reset();
+    inProgressTicket = 0;
   }
-  settle();
+  completeAcknowledged();
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const&, replication::Doubtful const& event) {
-  if (event.ticket != workingTicket) {
+void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::OutcomeUnknown const& event) {
+  if (event.ticket != inProgressTicket) {
     return;
   }
-  if (working && !workingAnswered) {
-    decide(working->ticket, Verdict::unknown, "the primary changed while the change was carried out");
+  if (inProgress && !inProgressAnswered) {
+    decide(inProgress->ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
   }
-  if (working) {
-    effects.emplace_back(replication::LogEntry{logging::Event::configurationUnknown, working->id});
+  if (inProgress) {
+    effects.emplace_back(replication::LogEntry{logging::Event::configurationUnknown, inProgress->id});
   }
-  working.reset();
-  workingTicket = 0;
+  inProgress.reset();
+  inProgressTicket = 0;
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const& group, Change const& event) {
-  if (std::string const reason = retiring ? "this node is leaving" : whyNot(); !reason.empty()) {
-    decide(event.ticket, Verdict::notRun, reason);
+void ConfigService::Impl::on(replication::ReplicationGroup const& group, Change const& event) {
+  if (std::string const reason = shuttingDown ? "this node is leaving" : whyNot(); !reason.empty()) {
+    decide(event.ticket, OrderStatus::notRun, reason);
     return;
   }
-  if (queue.size() >= policy.mostChanges || waitingAnswers() >= policy.mostWaitingAnswers) {
-    decide(event.ticket, Verdict::notRun, "too many changes wait");
+  if (queue.size() >= options.maxChanges || waitingAnswers() >= options.maxWaitingAnswers) {
+    decide(event.ticket, OrderStatus::notRun, "too many changes wait");
     return;
   }
   queue.push_back({event, now});
-  pump(group);
+  startNext(group);
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const&, Read const& event) {
+void ConfigService::Impl::on(replication::ReplicationGroup const&, Read const& event) {
   if (std::string const reason = whyNot(); !reason.empty()) {
-    decide(event.ticket, Verdict::notRun, reason);
-  } else if (reads.size() >= policy.mostChanges) {
-    decide(event.ticket, Verdict::notRun, "too many reads wait");
+    decide(event.ticket, OrderStatus::notRun, reason);
+  } else if (reads.size() >= options.maxChanges) {
+    decide(event.ticket, OrderStatus::notRun, "too many reads wait");
   } else {
-    reads.hold({event.ticket, now, event.deadline, std::nullopt});
+    reads.add({event.ticket, now, event.deadline, std::nullopt});
   }
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const&, Retire const&) {
-  retiring = true;
+void ConfigService::Impl::on(replication::ReplicationGroup const&, BeginShutdown const&) {
+  shuttingDown = true;
   rejectQueued("this node is leaving");
 }
 
-void Plane::Impl::rejectQueued(std::string const& reason) {
+void ConfigService::Impl::rejectQueued(std::string const& reason) {
   for (QueuedOrder const& queued : queue) {
-    decide(queued.order.ticket, Verdict::notRun, reason);
+    decide(queued.order.ticket, OrderStatus::notRun, reason);
   }
   queue.clear();
 }
 
-void Plane::Impl::holdRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline, Decided refusal) {
-  refusals.hold({ticket, arrivedAt, deadline, std::move(refusal)});
+void ConfigService::Impl::deferRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline,
+                                       OrderOutcome refusal) {
+  refusals.add({ticket, arrivedAt, deadline, std::move(refusal)});
   releaseConfirmed();
 }
 
-void Plane::Impl::releaseConfirmed() {
-  for (HeldAnswer const& read : reads.takeConfirmed(confirmedAt)) {
-    effects.emplace_back(ReadBack{read.ticket,
-                                  {published.configurationEpoch, published.configurationSequence},
-                                  published.revision,
-                                  published.document});
+void ConfigService::Impl::releaseConfirmed() {
+  for (PendingAnswer const& read : reads.takeConfirmed(confirmedAt)) {
+    effects.emplace_back(ConfigurationRead{read.ticket,
+                                           {published.configurationEpoch, published.configurationSequence},
+                                           published.revision,
+                                           published.document});
   }
-  for (HeldAnswer& refusal : refusals.takeConfirmed(confirmedAt)) {
+  for (PendingAnswer& refusal : refusals.takeConfirmed(confirmedAt)) {
     effects.emplace_back(*std::move(refusal.decision));
   }
 }
 
-void Plane::Impl::expire() {
+void ConfigService::Impl::expire() {
   for (AnswerGate* const gate : {&reads, &refusals}) {
-    for (HeldAnswer const& held : gate->takeExpired(now)) {
-      decide(held.ticket, Verdict::notRun, "the backup has not confirmed that this node is the primary");
+    for (PendingAnswer const& held : gate->takeExpired(now)) {
+      decide(held.ticket, OrderStatus::notRun, "the backup has not confirmed that this node is the primary");
     }
   }
-  if (working && !workingAnswered && now >= working->deadline) {
-    workingAnswered = true;
-    decide(working->ticket, Verdict::unknown, "the backup has not confirmed the change yet");
+  if (inProgress && !inProgressAnswered && now >= inProgress->deadline) {
+    inProgressAnswered = true;
+    decide(inProgress->ticket, OrderStatus::unknown, "the backup has not confirmed the change yet");
   }
   std::erase_if(queue, [&](QueuedOrder const& queued) {
     bool const late = now >= queued.order.deadline;
     if (late) {
-      decide(queued.order.ticket, Verdict::notRun, "the deadline passed before the change was begun");
+      decide(queued.order.ticket, OrderStatus::notRun, "the deadline passed before the change was begun");
     }
     return late;
   });
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const& group, Polled const& event) {
+void ConfigService::Impl::on(replication::ReplicationGroup const& group, StateRequestReceived const& event) {
   std::map<std::string, messages::PeerStatus const*> peerStatuses;
   for (messages::PeerStatus const& peerStatus : event.poll.peerStatuses) {
     peerStatuses.emplace(peerStatus.node, &peerStatus);
@@ -391,59 +397,62 @@
     return peerStatuses.contains(node) ? *peerStatuses.at(node) : none;
   };
   bool const confirms = tracker.learnIncarnations(event.poll);
-  note(confirms ? event.poll.self : distribution::withoutVersion(event.poll.self), statusOf(event.poll.self.node),
-       true);
+  recordReport(confirms ? event.poll.self : distribution::withoutVersion(event.poll.self),
+               statusOf(event.poll.self.node), true);
   for (messages::Follower const& follower : event.poll.followers) {
-    note(confirms ? follower : distribution::withoutVersion(follower), statusOf(follower.node), false);
+    recordReport(confirms ? follower : distribution::withoutVersion(follower), statusOf(follower.node), false);
   }
-  messages::News out = news(event.poll, group);
+  messages::StateResponse out = response(event.poll, group);
   messages::Message answer = feed.answer(now, active ? &published : nullptr, event.poll, std::move(out));
   effects.emplace_back(distribution::Outgoing{event.poll.self.address, std::move(answer)});
-  settle();
-  pump(group);
+  completeAcknowledged();
+  startNext(group);
 }
 
-void Plane::Impl::on(replication::ReplicationGroup const& group, Tick const&) {
+void ConfigService::Impl::on(replication::ReplicationGroup const& group, Tick const&) {
   tracker.expire(now);
   probe();
-  settle();
+  completeAcknowledged();
   releaseConfirmed();
   expire();
-  pump(group);
+  startNext(group);
 }
 
-void Plane::Impl::settle() {
+void ConfigService::Impl::completeAcknowledged() {
   if (!active) {
     return;
   }
-  StateVersion const rosterMark{published.rosterEpoch, published.rosterSequence};
-  if (!stable && majority(published.roster, rosterMark) && majority(published.priorRoster, rosterMark)) {
-    stable = true;
+  StateVersion const rosterVersion{published.rosterEpoch, published.rosterSequence};
+  if (!rosterStable && majorityConfirmed(published.roster, rosterVersion) &&
+      majorityConfirmed(published.priorRoster, rosterVersion)) {
+    rosterStable = true;
   }
-  settleForgetting();
-  std::erase_if(waiting, [&](Waiting const& entry) {
-    bool const majorities =
-        majority(published.roster, entry.mark) && (stable || majority(published.priorRoster, entry.mark));
-    bool const lapsed = now - entry.since >= policy.silentGraceMs;
+  completeRemovals();
+  std::erase_if(acknowledgements, [&](PendingAcknowledgement const& entry) {
+    bool const majorities = majorityConfirmed(published.roster, entry.stateVersion) &&
+                            (rosterStable || majorityConfirmed(published.priorRoster, entry.stateVersion));
+    bool const lapsed = now - entry.since >= options.silentGraceMs;
     bool const leads = !entry.arrivedAt || confirmedSince(confirmedAt, *entry.arrivedAt);
-    if (leads && majorities && (everyone(entry.mark) || lapsed)) {
-      decide(entry.ticket, Verdict::taken, "", entry.version);
+    if (leads && majorities && (allConfirmed(entry.stateVersion) || lapsed)) {
+      decide(entry.ticket, OrderStatus::taken, "", entry.version);
       return true;
     }
     if (now >= entry.deadline) {
-      decide(entry.ticket, Verdict::unknown, "the change is kept, but not known to be everywhere yet", entry.version);
+      decide(entry.ticket, OrderStatus::unknown, "the change is kept, but not known to be everywhere yet",
+             entry.version);
       return true;
     }
     return false;
   });
 }
 
-bool Plane::Impl::offerRoster(replication::ReplicationGroup const& group) {
-  if (now < nextRosterAt || !stable || retiring) {
+bool ConfigService::Impl::offerRoster(replication::ReplicationGroup const& group) {
+  if (now < nextRosterAt || !rosterStable || shuttingDown) {
     return false;
   }
-  nextRosterAt = now + policy.rosterBatchMs * static_cast<long>(1 + published.roster.size() / policy.rosterBatchNodes);
-  RosterPlan plan = planRoster(now, policy, published.roster, tracker);
+  nextRosterAt =
+      now + options.rosterBatchMs * static_cast<long>(1 + published.roster.size() / options.rosterBatchNodes);
+  RosterPlan plan = planRoster(now, options, published.roster, tracker);
   if (plan.changes.empty()) {
     return false;
   }
@@ -452,43 +461,44 @@
   next.roster = std::move(plan.roster);
   next.rosterEpoch = group.decided().epoch;
   next.rosterSequence = published.sequence + 1;
-  stable = false;
-  workingTicket = ++lastOwnTicket;
+  rosterStable = false;
+  inProgressTicket = ++lastOwnTicket;
   effects.emplace_back(replication::LogEntry{logging::Event::rosterChanged, plan.changes});
-  effects.emplace_back(replication::Offer{workingTicket, std::move(next)});
+  effects.emplace_back(replication::Proposal{inProgressTicket, std::move(next)});
   return true;
 }
 
-void Plane::Impl::begin(replication::ReplicationGroup const& group, QueuedOrder const& queued) {
+void ConfigService::Impl::begin(replication::ReplicationGroup const& group, QueuedOrder const& queued) {
   Evaluation evaluation = evaluator.evaluate(queued.order, published, group.decided().epoch);
   std::visit([&](auto& concrete) { begin(queued, std::move(concrete)); }, evaluation);
 }
 
-void Plane::Impl::begin(QueuedOrder const& queued, Proposal proposal) {
-  working = queued.order;
-  workingAnswered = false;
-  workingTicket = ++lastOwnTicket;
-  effects.emplace_back(replication::Offer{workingTicket, std::move(proposal.next)});
+void ConfigService::Impl::begin(QueuedOrder const& queued, NewState proposal) {
+  inProgress = queued.order;
+  inProgressAnswered = false;
+  inProgressTicket = ++lastOwnTicket;
+  effects.emplace_back(replication::Proposal{inProgressTicket, std::move(proposal.next)});
 }
 
-void Plane::Impl::begin(QueuedOrder const& queued, AlreadyTaken const& taken) {
-  waiting.push_back({queued.order.ticket, mark(), taken.version, publishedAt, queued.order.deadline, queued.arrivedAt});
-  settle();
+void ConfigService::Impl::begin(QueuedOrder const& queued, AlreadyTaken const& taken) {
+  acknowledgements.push_back(
+      {queued.order.ticket, stateVersion(), taken.version, publishedAt, queued.order.deadline, queued.arrivedAt});
+  completeAcknowledged();
 }
 
-void Plane::Impl::begin(QueuedOrder const& queued, Rejection rejection) {
+void ConfigService::Impl::begin(QueuedOrder const& queued, Rejection rejection) {
   std::uint64_t const ticket = queued.order.ticket;
   config::Version const current{published.configurationEpoch, published.configurationSequence};
-  Decided decision{ticket, rejection.verdict, current, std::move(rejection.problems), std::move(rejection.reason)};
-  if (decision.verdict == Verdict::unknown) {
+  OrderOutcome decision{ticket, rejection.verdict, current, std::move(rejection.problems), std::move(rejection.reason)};
+  if (decision.verdict == OrderStatus::unknown) {
     effects.emplace_back(std::move(decision));
     return;
   }
-  holdRefusal(ticket, queued.arrivedAt, queued.order.deadline, std::move(decision));
+  deferRefusal(ticket, queued.arrivedAt, queued.order.deadline, std::move(decision));
 }
 
-void Plane::Impl::pump(replication::ReplicationGroup const& group) {
-  while (active && workingTicket == 0) {
+void ConfigService::Impl::startNext(replication::ReplicationGroup const& group) {
+  while (active && inProgressTicket == 0) {
     if (offerRoster(group)) {
       return;
     }
@@ -498,28 +508,29 @@
     QueuedOrder const queued = std::move(queue.front());
     queue.pop_front();
     if (now >= queued.order.deadline) {
-      decide(queued.order.ticket, Verdict::notRun, "the deadline passed before the change was begun");
+      decide(queued.order.ticket, OrderStatus::notRun, "the deadline passed before the change was begun");
     } else if (isUnconfirmed()) {
-      decide(queued.order.ticket, Verdict::notRun, "the backup is not heard");
+      decide(queued.order.ticket, OrderStatus::notRun, "the backup is not heard");
     } else {
       begin(group, queued);
     }
   }
 }
 
-Plane::Plane(Policy const& policy, std::string const& id, config::Language language)
-    : impl_(std::make_unique<Impl>(policy, id, std::move(language))) {}
+ConfigService::ConfigService(ConfigServiceOptions const& options, std::string const& id, config::Language language)
+    : impl_(std::make_unique<Impl>(options, id, std::move(language))) {}
 
-Plane::~Plane() = default;
-Plane::Plane(Plane const& other) : impl_(std::make_unique<Impl>(*other.impl_)) {}
-Plane::Plane(Plane&&) noexcept = default;
-Plane& Plane::operator=(Plane const& other) {
+ConfigService::~ConfigService() = default;
+ConfigService::ConfigService(ConfigService const& other) : impl_(std::make_unique<Impl>(*other.impl_)) {}
+ConfigService::ConfigService(ConfigService&&) noexcept = default;
+ConfigService& ConfigService::operator=(ConfigService const& other) {
   impl_ = std::make_unique<Impl>(*other.impl_);
   return *this;
 }
-Plane& Plane::operator=(Plane&&) noexcept = default;
+ConfigService& ConfigService::operator=(ConfigService&&) noexcept = default;
 
-std::vector<Effect> Plane::step(TimePoint now, replication::ReplicationGroup const& group, Event const& event) {
+std::vector<ConfigServiceEffect> ConfigService::step(TimePoint now, replication::ReplicationGroup const& group,
+                                                     ConfigServiceEvent const& event) {
   impl_->now = now;
   impl_->confirmedAt = group.leadershipConfirmedAt();
   impl_->effects.clear();
@@ -527,50 +538,50 @@
   return std::move(impl_->effects);
 }
 
-bool Plane::active() const { return impl_->active; }
-messages::State const& Plane::published() const { return impl_->published; }
-std::size_t Plane::pending() const { return impl_->queue.size() + impl_->waitingAnswers(); }
+bool ConfigService::active() const { return impl_->active; }
+messages::State const& ConfigService::published() const { return impl_->published; }
+std::size_t ConfigService::pending() const { return impl_->queue.size() + impl_->waitingAnswers(); }
 
-void Plane::Impl::digestOrders(messages::StateDigest& digest) const {
+void ConfigService::Impl::digestOrders(messages::StateDigest& digest) const {
   digest.add(queue.size());
   for (QueuedOrder const& queued : queue) {
     digestOrder(digest, queued.order);
     digest.add(queued.arrivedAt);
   }
-  digest.add(working.has_value());
-  if (working) {
-    digestOrder(digest, *working);
-    digest.add(workingAnswered);
+  digest.add(inProgress.has_value());
+  if (inProgress) {
+    digestOrder(digest, *inProgress);
+    digest.add(inProgressAnswered);
   }
-  digest.add(workingTicket);
-  digest.add(waiting.size());
-  for (Waiting const& entry : waiting) {
+  digest.add(inProgressTicket);
+  digest.add(acknowledgements.size());
+  for (PendingAcknowledgement const& entry : acknowledgements) {
     digest.add(entry.ticket);
-    digest.add(entry.mark.epoch);
-    digest.add(entry.mark.sequence);
+    digest.add(entry.stateVersion.epoch);
+    digest.add(entry.stateVersion.sequence);
     digest.add(entry.since);
     digest.add(entry.deadline);
     digest.add(entry.arrivedAt.value_or(TimePoint{}));
   }
-  digest.add(forgetting.size());
-  for (Forgetting const& entry : forgetting) {
+  digest.add(removals.size());
+  for (NodeRemoval const& entry : removals) {
     digest.add(entry.ticket);
     digest.add(entry.nodes);
     digest.add(entry.deadline);
   }
 }
 
-std::uint64_t Plane::digest(TimePoint now) const {
+std::uint64_t ConfigService::digest(TimePoint now) const {
   Impl const& impl = *impl_;
   messages::StateDigest digest(now, std::chrono::seconds(5));
   digest.add(impl.id);
   digest.add(impl.active);
   impl.feed.digest(digest);
-  digest.add(impl.retiring);
+  digest.add(impl.shuttingDown);
   digest.add(impl.activeAt);
   digest.add(impl.published);
   digest.add(impl.publishedAt);
-  digest.add(impl.stable);
+  digest.add(impl.rosterStable);
   digest.addDeadline(impl.nextRosterAt);
   impl.digestOrders(digest);
   impl.reads.digest(digest);
@@ -579,15 +590,15 @@
   return digest.finish();
 }
 
-std::vector<NodeView> Plane::nodes(TimePoint now) const {
+std::vector<NodeView> ConfigService::nodes(TimePoint now) const {
   std::vector<NodeView> out;
   for (messages::RosterEntry const& entry : impl_->published.roster) {
     NodeView view{entry.node, entry.address, entry.zone, entry.slot,
                   {},         Ms(0),         false,      impl_->tracker.persistentlyGone(now, entry.node)};
     if (TrackedNode const* const found = impl_->tracker.find(entry.node)) {
       view.confirmed = {found->confirmed.epoch, found->confirmed.sequence};
-      view.heardMs = std::chrono::duration_cast<Ms>(now - found->heardAt);
-      view.everHeard = true;
+      view.sinceReportMs = std::chrono::duration_cast<Ms>(now - found->lastReceivedAt);
+      view.everReported = true;
     }
     out.push_back(std::move(view));
   }
--- a/libs/control/src/control_server.cpp
+++ b/libs/control/src/control_server.cpp
@@ -14,24 +14,24 @@
 namespace limeramp::control {
 namespace {
 
-constexpr std::size_t mostInboundMessages = 8'192;
+constexpr std::size_t maxInboundMessages = 8'192;
 /// Of the inbound messages' places, those that requests leave to the controller's own.
 constexpr std::size_t placesKeptForOwn = 4'096;
-constexpr std::size_t mostDiskJobs = 1'024;
-constexpr std::size_t mostRequestBytes = 4 << 20;
+constexpr std::size_t maxDiskJobs = 1'024;
+constexpr std::size_t maxRequestBytes = 4 << 20;
 /// Kept back from the grace time for closing the listeners and the disk.
 constexpr Ms closingMs{600};
 
 absl::Status openRecordStore(config::Settings const& settings, std::unique_ptr<storage::RecordStore>& store) {
-  storage::Shape shape;
+  storage::RingLayout shape;
   shape.fileBytes = settings.storeFileBytes;
   absl::StatusOr<std::unique_ptr<storage::RecordStore>> opened = storage::RecordStore::open(settings.data, shape);
   if (!opened.ok()) {
     return opened.status();
   }
   store = *std::move(opened);
-  if (store->findings().tailCut) {
-    logging::raise(logging::Event::diskTailCut, {{"folder", settings.data}});
+  if (store->findings().tailTruncated) {
+    logging::raise(logging::Event::diskTailTruncated, {{"folder", settings.data}});
   }
   if (store->findings().damaged) {
     logging::raise(logging::Event::diskDamaged, {{"folder", settings.data}, {"detail", store->findings().detail}});
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-ControlServer::Impl::Impl(config::Settings const& settingsIn, OperatorDialect const& dialectIn,
+ControlServer::Impl::Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& dialectIn,
                           config::Language const& languageIn, std::unique_ptr<storage::RecordStore> storeIn,
                           Identity const& identity)
     : settings(settingsIn),
@@ -78,24 +78,25 @@
       store(std::move(storeIn)),
       client(network, {}),
       peerLink(network, identity.id, settingsIn.advertise),
-      inboundMessages(mostInboundMessages),
-      diskJobs(mostDiskJobs),
-      group(replication::policyFor(settingsIn.machineLosses)),
-      service(Policy{}, identity.id, languageIn),
+      inboundMessages(maxInboundMessages),
+      diskJobs(maxDiskJobs),
+      group(replication::optionsFor(settingsIn.machineLosses)),
+      service(ConfigServiceOptions{}, identity.id, languageIn),
       views({},
             messages::Peer{identity.id, settingsIn.advertise, settingsIn.zone, messages::controllerRole,
                            net::randomWord() >> 1, 0},
             settingsIn.seeds, net::randomWord()),
       listeners(network),
-      runner(client, settingsIn.advertise, 0, [this](RunBack back) { inboundMessages.push(std::move(back)); }),
+      forwarder(client, settingsIn.advertise, 0,
+                [this](ForwardFinished back) { inboundMessages.push(std::move(back)); }),
       graceMs(settingsIn.graceMs) {}
 
 bool ControlServer::Impl::listen(std::string& error) {
   using Audience = node::Listeners::Audience;
   net::ServerBounds bounds;
   bounds.maxConnections = settings.maxConnections;
-  bounds.maxBodyBytes = mostRequestBytes;
-  Serve const own = [this](net::Request request, net::Responder respond) {
+  bounds.maxBodyBytes = maxRequestBytes;
+  OperatorHandler const own = [this](net::Request request, net::Responder respond) {
     take(std::move(request), std::move(respond));
   };
   net::HttpServer::Handler const takeOperator = [this, own](net::Request request, net::Responder respond) {
@@ -112,16 +113,17 @@
 }
 
 void ControlServer::Impl::drainAndWait() {
-  inboundMessages.push(DrainAsked{});
-  std::unique_lock<std::mutex> lock(retiredMutex);
-  retiredChanged.wait_for(lock, std::max(graceMs - closingMs, graceMs / 2), [this] { return retired; });
+  inboundMessages.push(DrainRequested{});
+  std::unique_lock<std::mutex> lock(shutdownMutex);
+  shutdownChanged.wait_for(lock, std::max(graceMs - closingMs, graceMs / 2), [this] { return shutdownComplete; });
   listeners.stopAccepting();
 }
 
 ControlServer::ControlServer() = default;
 
 std::unique_ptr<ControlServer> ControlServer::start(config::Settings const& settings, std::string& error,
-                                                    OperatorDialect const& dialect, config::Language const& language) {
+                                                    OperatorProtocolAdapter const& dialect,
+                                                    config::Language const& language) {
   std::unique_ptr<storage::RecordStore> store;
   absl::Status opened = settings.data.empty() ? absl::OkStatus() : openRecordStore(settings, store);
   Identity identity{freshId(settings.node), settings.mayFound, settings.seeds};
@@ -158,7 +160,7 @@
 
 void ControlServer::follow(config::SettingsFile file) { impl_->inboundMessages.push(FollowSettings{std::move(file)}); }
 
-void ControlServer::reload() { impl_->inboundMessages.push(ReloadAsked{}); }
+void ControlServer::reload() { impl_->inboundMessages.push(ReloadRequested{}); }
 
 void ControlServer::drain() { impl_->drainAndWait(); }
 
--- a/libs/control/src/control_server_impl.h
+++ b/libs/control/src/control_server_impl.h
@@ -2,7 +2,7 @@
 
 #include "limeramp/control/config_service.h"
 #include "limeramp/control/control_server.h"
-#include "limeramp/control/runner.h"
+#include "limeramp/control/order_forwarder.h"
 #include "limeramp/distribution/peer_views.h"
 #include "limeramp/net/ring.h"
 #include "limeramp/node/listeners.h"
@@ -37,7 +37,7 @@
 };
 
 /// Asks the controller to hand its duties over.
-struct DrainAsked {};
+struct DrainRequested {};
 
 /// Names the settings file to follow from now on.
 struct FollowSettings {
@@ -45,9 +45,10 @@
 };
 
 /// Asks for the settings file to be read at once.
-struct ReloadAsked {};
+struct ReloadRequested {};
 
-using InboundMessage = std::variant<Incoming, DiskDone, RunBack, Probed, DrainAsked, FollowSettings, ReloadAsked>;
+using InboundMessage =
+    std::variant<Incoming, DiskDone, ForwardFinished, ProbeFinished, DrainRequested, FollowSettings, ReloadRequested>;
 
 /// Records that are to be made safe on the disk.
 struct DiskJob {
@@ -56,7 +57,7 @@
 };
 
 /// An operator's order to force a new group, while the configuration for it is being fetched.
-struct ForcingNewGroup {
+struct PendingForcedGroup {
   /// The node that holds the configuration.
   std::string from;
   net::Responder respond;
@@ -79,12 +80,12 @@
 };
 
 /// All of a controller. Its members belong to the thread of the event loop, but for the rings, `store`, which the
-/// disk's thread writes, and what `retiredMutex` guards.
+/// disk's thread writes, and what `shutdownMutex` guards.
 ///
 /// The functions stand by job in event_loop.cpp, state_machines.cpp, operator_calls.cpp, force_new_group.cpp and
 /// status_pages.cpp.
 struct ControlServer::Impl {
-  Impl(config::Settings const& settingsIn, OperatorDialect const& dialectIn, config::Language const& languageIn,
+  Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& dialectIn, config::Language const& languageIn,
        std::unique_ptr<storage::RecordStore> storeIn, Identity const& identity);
 
   // Start and end: control_server.cpp.
@@ -100,17 +101,17 @@
   void storeMembers(std::vector<replication::Member> const& members);
   void on(Incoming& inbound);
   void on(DiskDone& inbound);
-  void on(RunBack& inbound) { runner.hear(Clock::now(), inbound); }
-  void on(Probed& inbound) { stepService(inbound); }
-  void on(DrainAsked& inbound);
+  void on(ForwardFinished& inbound) { forwarder.onFinished(Clock::now(), inbound); }
+  void on(ProbeFinished& inbound) { stepService(inbound); }
+  void on(DrainRequested& inbound);
   void on(FollowSettings& inbound) { settingsFollower.follow(std::move(inbound.file)); }
-  void on(ReloadAsked&) { apply(settingsFollower.reload(Clock::now())); }
+  void on(ReloadRequested&) { apply(settingsFollower.reload(Clock::now())); }
   void apply(std::optional<config::SettingsUpdate> const& update);
 
   // The state machines and their effects: state_machines.cpp.
-  void stepGroup(replication::Event const& event);
-  void stepService(Event const& event);
-  void apply(Decided const& decided);
+  void stepGroup(replication::GroupEvent const& event);
+  void stepService(ConfigServiceEvent const& event);
+  void apply(OrderOutcome const& decided);
   void persist(replication::Persist const& effect);
   void probe(Probe const& effect);
   void reply(std::uint64_t ticket, net::Answer answer);
@@ -119,9 +120,9 @@
   // Calls under /limeramp: operator_calls.cpp.
   void readConfiguration(Incoming& inbound);
   void changeConfiguration(Incoming& inbound);
-  void forgetNodes(Incoming& inbound);
+  void removeNodes(Incoming& inbound);
   void relayCall(Incoming& inbound) {
-    runner.take(Clock::now(), inbound.arrivedAt, std::move(inbound.content), std::move(inbound.respond));
+    forwarder.take(Clock::now(), inbound.arrivedAt, std::move(inbound.content), std::move(inbound.respond));
   }
 
   // A new group by an operator's word: force_new_group.cpp.
@@ -135,7 +136,7 @@
 
   config::Settings settings;
   node::SettingsFollower settingsFollower;
-  OperatorDialect dialect;
+  OperatorProtocolAdapter dialect;
   std::string id;
   bool mayFound = false;
   std::vector<std::string> founders;
@@ -146,12 +147,12 @@
   net::Ring<InboundMessage> inboundMessages;
   net::Ring<DiskJob> diskJobs;
   replication::ReplicationGroup group;
-  Plane service;
+  ConfigService service;
   distribution::PeerViews views;
   node::Listeners listeners;
   std::thread core;
   std::thread disk;
-  Runner runner;
+  OrderForwarder forwarder;
   std::unordered_map<std::uint64_t, WaitingCall> waitingCalls;
   std::uint64_t lastTicket = 0;
   /// Whether a message came from a fleet that was founded while this controller knows none.
@@ -159,12 +160,12 @@
   std::string keptMembers;
   Clock::time_point startedAt = Clock::now();
   bool draining = false;
-  std::optional<ForcingNewGroup> forcingNewGroup;
+  std::optional<PendingForcedGroup> forcingNewGroup;
 
   /// Guards what the thread that ends the process reads.
-  std::mutex retiredMutex;
-  std::condition_variable retiredChanged;
-  bool retired = false;
+  std::mutex shutdownMutex;
+  std::condition_variable shutdownChanged;
+  bool shutdownComplete = false;
   Ms graceMs;
 };
 
--- a/libs/control/src/dialect.cpp
+++ b/libs/control/src/dialect.cpp
@@ -1,11 +1,12 @@
-#include "limeramp/control/dialect.h"
+#include "limeramp/control/operator_protocol_adapter.h"
 
 #include "limeramp/control/operator_api.h"
 
 namespace limeramp::control {
 
-void serveOperator(OperatorDialect const& dialect, net::Request asked, net::Responder respond, Serve const& own) {
-  std::optional<net::Request> request = dialect.toOwn ? dialect.toOwn(asked) : asked;
+void serveOperator(OperatorProtocolAdapter const& dialect, net::Request asked, net::Responder respond,
+                   OperatorHandler const& own) {
+  std::optional<net::Request> request = dialect.toNative ? dialect.toNative(asked) : asked;
   if (!request) {
     respond(plain(404, "{\"reason\":\"no such page\"}"));
     return;
@@ -13,8 +14,8 @@
   if (!net::findHeader(request->headers, deadlineHeader)) {
     request->headers.emplace_back(deadlineHeader, std::to_string(operatorWaitMs.count()));
   }
-  if (dialect.fromOwn) {
-    respond = [translate = dialect.fromOwn, asked = std::move(asked), to = std::move(respond)](net::Answer answer) {
+  if (dialect.fromNative) {
+    respond = [translate = dialect.fromNative, asked = std::move(asked), to = std::move(respond)](net::Answer answer) {
       to(translate(asked, std::move(answer)));
     };
   }
--- a/libs/control/src/event_loop.cpp
+++ b/libs/control/src/event_loop.cpp
@@ -13,7 +13,7 @@
 /// How long after the start the members that others name are not yet written to the disk.
 constexpr Ms settleMs{2000};
 constexpr char const* membersKey = "members";
-constexpr std::size_t mostKeptMembers = 16;
+constexpr std::size_t maxKeptMembers = 16;
 
 }  // namespace
 
@@ -56,20 +56,20 @@
   stepGroup(replication::Tick{});
   stepService(Tick{});
   continueForcingNewGroup(now);
-  if (draining && group.retired()) {
-    std::unique_lock<std::mutex> const lock(retiredMutex);
-    retired = true;
-    retiredChanged.notify_all();
+  if (draining && group.mayShutDown()) {
+    std::unique_lock<std::mutex> const lock(shutdownMutex);
+    shutdownComplete = true;
+    shutdownChanged.notify_all();
   }
-  runner.tick(now, group.decided().epoch == 0 ? "" : group.primaryAddress());
+  forwarder.tick(now, group.decided().epoch == 0 ? "" : group.primaryAddress());
   apply(settingsFollower.tick(now));
 }
 
-void ControlServer::Impl::on(DrainAsked&) {
+void ControlServer::Impl::on(DrainRequested&) {
   draining = true;
   logging::raise(logging::Event::drainBegan, {});
-  stepService(Retire{});
-  stepGroup(replication::Retire{});
+  stepService(BeginShutdown{});
+  stepGroup(replication::BeginShutdown{});
 }
 
 void ControlServer::Impl::apply(std::optional<config::SettingsUpdate> const& update) {
@@ -79,7 +79,7 @@
   settings = update->settings;
   views.setSeeds(settings.seeds);
   listeners.setMaxConnections(settings.maxConnections);
-  std::unique_lock<std::mutex> const lock(retiredMutex);
+  std::unique_lock<std::mutex> const lock(shutdownMutex);
   graceMs = settings.graceMs;
 }
 
@@ -94,7 +94,7 @@
   if (!inbound.good) {
     logging::raise(logging::Event::diskFailed, {{"reason", inbound.reason}});
   }
-  stepGroup(replication::Persisted{inbound.token, inbound.good});
+  stepGroup(replication::PersistFinished{inbound.token, inbound.good});
 }
 
 void ControlServer::Impl::restoreMembers() {
@@ -114,7 +114,7 @@
 void ControlServer::Impl::storeMembers(std::vector<replication::Member> const& members) {
   messages::Shuffle kept;
   for (replication::Member const& member : members) {
-    if (kept.peers.size() < mostKeptMembers) {
+    if (kept.peers.size() < maxKeptMembers) {
       kept.peers.push_back({member.id, member.address, member.zone, "", 0, 0});
     }
   }
--- a/libs/control/src/force_new_group.cpp
+++ b/libs/control/src/force_new_group.cpp
@@ -25,7 +25,7 @@
     return;
   }
   Clock::time_point const now = Clock::now();
-  forcingNewGroup = ForcingNewGroup{std::get<std::string>(from), std::move(inbound.respond), now + forceWaitMs, now};
+  forcingNewGroup = PendingForcedGroup{std::get<std::string>(from), std::move(inbound.respond), now + forceWaitMs, now};
   continueForcingNewGroup(now);
 }
 
@@ -34,7 +34,7 @@
     finishForcingNewGroup("no configuration came from " + forcingNewGroup->from);
   } else if (forcingNewGroup && now >= forcingNewGroup->nextAt) {
     forcingNewGroup->nextAt = now + forceRepeatMs;
-    messages::Poll poll;
+    messages::StateRequest poll;
     poll.token = 1;
     poll.self.address = settings.advertise;
     peerLink.send(group.decided().fleet, forcingNewGroup->from, std::move(poll));
--- a/libs/control/src/node_tracker.cpp
+++ b/libs/control/src/node_tracker.cpp
@@ -11,18 +11,18 @@
 
 void NodeTracker::end() {
   for (std::pair<std::string const, DeathProof>& entry : proofs_) {
-    entry.second.forgotten = false;
+    entry.second.removedByOperator = false;
   }
 }
 
 void NodeTracker::published(TimePoint now, StateVersion const& version) {
   publishings_[version] = now;
-  if (publishings_.size() > 4 * policy_.mostChanges) {
+  if (publishings_.size() > 4 * options_.maxChanges) {
     publishings_.erase(publishings_.begin());
   }
 }
 
-bool NodeTracker::learnIncarnations(messages::Poll const& poll) {
+bool NodeTracker::learnIncarnations(messages::StateRequest const& poll) {
   for (messages::PeerStatus const& status : poll.peerStatuses) {
     if (status.node == poll.self.node) {
       return incarnations_.learn(poll.incarnationsDigest, status.incarnations);
@@ -33,7 +33,7 @@
 
 bool NodeTracker::report(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status,
                          bool direct) {
-  if (nodes_.size() >= policy_.mostNodes && !nodes_.contains(follower.node)) {
+  if (nodes_.size() >= options_.maxNodes && !nodes_.contains(follower.node)) {
     return true;
   }
   incarnations_.merge(status.incarnations);
@@ -43,7 +43,7 @@
   }
   bool const known = !entry.follower.address.empty();
   bool const moved = entry.follower.address != follower.address;
-  if (known && moved && now - entry.heardAt <= policy_.nodeCurrentMs) {
+  if (known && moved && now - entry.lastReceivedAt <= options_.nodeCurrentMs) {
     return false;
   }
   if (moved || entry.boot != status.boot) {
@@ -51,14 +51,14 @@
   }
   std::map<std::string, DeathProof>::iterator const proof = proofs_.find(follower.node);
   if (proof != proofs_.end() && (status.boot != entry.boot || direct)) {
-    proof->second.forgotten = false;
+    proof->second.removedByOperator = false;
   }
   entry.boot = status.boot;
   entry.leaving = status.leaving;
   entry.leftBoot = status.leaving ? status.boot : entry.leftBoot;
   entry.follower = follower;
   entry.confirmed = std::max(entry.confirmed, StateVersion{follower.epoch, follower.sequence});
-  entry.heardAt = now;
+  entry.lastReceivedAt = now;
   entry.direct = direct;
   return true;
 }
@@ -82,7 +82,7 @@
     return false;
   }
   std::map<StateVersion, TimePoint>::const_iterator const since = publishings_.lower_bound(wanted);
-  return found->second.forgotten || (since != publishings_.end() && found->second.goneAt > since->second);
+  return found->second.removedByOperator || (since != publishings_.end() && found->second.goneAt > since->second);
 }
 
 bool NodeTracker::persistentlyGone(TimePoint now, std::string const& node) const {
@@ -91,23 +91,23 @@
     return false;
   }
   DeathProof const& proof = found->second;
-  return proof.forgotten ||
-         (proof.goneAt > heardAt(node) && proof.goneAt - proof.firstGoneAt >= policy_.gonePersistsMs &&
-          now - heardAt(node) > policy_.nodeCurrentMs);
+  return proof.removedByOperator ||
+         (proof.goneAt > lastReceivedAt(node) && proof.goneAt - proof.firstGoneAt >= options_.gonePersistsMs &&
+          now - lastReceivedAt(node) > options_.nodeCurrentMs);
 }
 
 bool NodeTracker::isAlive(TimePoint now, std::string const& node) const {
   TrackedNode const* const found = find(node);
-  return found != nullptr && now - found->heardAt <= policy_.nodeCurrentMs;
+  return found != nullptr && now - found->lastReceivedAt <= options_.nodeCurrentMs;
 }
 
-TimePoint NodeTracker::heardAt(std::string const& node) const {
+TimePoint NodeTracker::lastReceivedAt(std::string const& node) const {
   TrackedNode const* const found = find(node);
-  return found == nullptr ? activeAt_ : std::max(activeAt_, found->heardAt);
+  return found == nullptr ? activeAt_ : std::max(activeAt_, found->lastReceivedAt);
 }
 
-bool NodeTracker::majority(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
-                           std::uint64_t epoch) const {
+bool NodeTracker::majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+                                    std::uint64_t epoch) const {
   std::size_t const count =
       static_cast<std::size_t>(std::count_if(roster.begin(), roster.end(), [&](messages::RosterEntry const& entry) {
         return confirmed(entry.node, wanted, epoch) || gone(entry.node, wanted);
@@ -115,8 +115,8 @@
   return roster.empty() || count > roster.size() / 2;
 }
 
-bool NodeTracker::everyone(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
-                           std::uint64_t epoch) const {
+bool NodeTracker::allConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+                               std::uint64_t epoch) const {
   return std::all_of(roster.begin(), roster.end(), [&](messages::RosterEntry const& entry) {
     return confirmed(entry.node, wanted, epoch) || gone(entry.node, wanted);
   });
@@ -125,11 +125,11 @@
 std::vector<Probe> NodeTracker::probesDue(TimePoint now, std::vector<messages::RosterEntry> const& roster) {
   std::vector<Probe> due;
   for (messages::RosterEntry const& entry : roster) {
-    if (now - heardAt(entry.node) < policy_.probeAfterMs) {
+    if (now - lastReceivedAt(entry.node) < options_.probeAfterMs) {
       continue;
     }
     DeathProof& proof = proofs_[entry.node];
-    if (now - proof.probedAt >= policy_.probeEveryMs) {
+    if (now - proof.probedAt >= options_.probeEveryMs) {
       proof.probedAt = now;
       proof.token = ++lastProbe_;
       due.push_back({proof.token, entry.node, entry.address});
@@ -138,14 +138,14 @@
   return due;
 }
 
-void NodeTracker::probed(Probed const& answer) {
+void NodeTracker::probed(ProbeFinished const& answer) {
   for (std::pair<std::string const, DeathProof>& entry : proofs_) {
     DeathProof& proof = entry.second;
     if (proof.token != answer.token || answer.token == 0) {
       continue;
     }
     if (answer.gone) {
-      proof.firstGoneAt = proof.firstGoneAt <= heardAt(entry.first) ? proof.probedAt : proof.firstGoneAt;
+      proof.firstGoneAt = proof.firstGoneAt <= lastReceivedAt(entry.first) ? proof.probedAt : proof.firstGoneAt;
       proof.goneAt = std::max(proof.goneAt, proof.probedAt);
     } else {
       proof.firstGoneAt = {};
@@ -155,10 +155,10 @@
 
 void NodeTracker::expire(TimePoint now) {
   std::erase_if(nodes_, [&](std::pair<std::string const, TrackedNode> const& entry) {
-    return now - entry.second.heardAt > policy_.rosterForgetMs * 2;
+    return now - entry.second.lastReceivedAt > options_.rosterForgetMs * 2;
   });
   std::erase_if(proofs_, [&](std::pair<std::string const, DeathProof> const& entry) {
-    return !entry.second.forgotten && now - entry.second.probedAt > policy_.rosterForgetMs * 2;
+    return !entry.second.removedByOperator && now - entry.second.probedAt > options_.rosterForgetMs * 2;
   });
 }
 
@@ -172,7 +172,7 @@
     digest.add(node.leaving);
     digest.add(node.confirmed.epoch);
     digest.add(node.confirmed.sequence);
-    digest.add(node.heardAt);
+    digest.add(node.lastReceivedAt);
     digest.add(node.direct);
   }
   for (std::pair<std::string const, DeathProof> const& entry : proofs_) {
@@ -181,7 +181,7 @@
     digest.add(entry.second.probedAt);
     digest.add(entry.second.firstGoneAt);
     digest.add(entry.second.goneAt);
-    digest.add(entry.second.forgotten);
+    digest.add(entry.second.removedByOperator);
   }
   digest.add(incarnations_.list());
   for (std::pair<StateVersion const, TimePoint> const& entry : publishings_) {
--- a/libs/control/src/node_tracker.h
+++ b/libs/control/src/node_tracker.h
@@ -24,7 +24,7 @@
   std::uint64_t leftBoot = 0;
   bool leaving = false;
   StateVersion confirmed;
-  TimePoint heardAt{};
+  TimePoint lastReceivedAt{};
   bool direct = false;
 };
 
@@ -34,12 +34,12 @@
   TimePoint probedAt{};
   TimePoint firstGoneAt{};
   TimePoint goneAt{};
-  bool forgotten = false;
+  bool removedByOperator = false;
 };
 
 class NodeTracker {
  public:
-  explicit NodeTracker(Policy const& policy) : policy_(policy) {}
+  explicit NodeTracker(ConfigServiceOptions const& options) : options_(options) {}
 
   /// A leadership begins: what was published before it proves nothing, and silence counts from now.
   void begin(TimePoint now);
@@ -50,7 +50,7 @@
 
   /// Takes in what the sender of a poll knows of incarnations. False if it knows some that are not known here and that
   /// might overrule what the poll confirms.
-  bool learnIncarnations(messages::Poll const& poll);
+  bool learnIncarnations(messages::StateRequest const& poll);
 
   /// Takes in one node's report. False if the node was heard at another address just before.
   bool report(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status, bool direct);
@@ -62,18 +62,18 @@
   /// Gone for long enough to leave the roster.
   bool persistentlyGone(TimePoint now, std::string const& node) const;
   bool isAlive(TimePoint now, std::string const& node) const;
-  TimePoint heardAt(std::string const& node) const;
+  TimePoint lastReceivedAt(std::string const& node) const;
 
-  bool majority(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
-                std::uint64_t epoch) const;
-  bool everyone(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
-                std::uint64_t epoch) const;
+  bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+                         std::uint64_t epoch) const;
+  bool allConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+                    std::uint64_t epoch) const;
 
   /// The probes of silent nodes that are due.
   std::vector<Probe> probesDue(TimePoint now, std::vector<messages::RosterEntry> const& roster);
-  void probed(Probed const& answer);
+  void probed(ProbeFinished const& answer);
   /// The operator's word that a node is gone; it holds until the node is heard again.
-  void forget(std::string const& node) { proofs_[node].forgotten = true; }
+  void markRemoved(std::string const& node) { proofs_[node].removedByOperator = true; }
   /// Drops nodes that have not been heard for long.
   void expire(TimePoint now);
 
@@ -84,7 +84,7 @@
   void digest(messages::StateDigest& digest) const;
 
  private:
-  Policy policy_;
+  ConfigServiceOptions options_;
   TimePoint activeAt_{};
   std::map<std::string, TrackedNode> nodes_;
   std::map<std::string, DeathProof> proofs_;
--- a/libs/control/src/operator_api.cpp
+++ b/libs/control/src/operator_api.cpp
@@ -90,7 +90,7 @@
            : method == "GET"                    ? OperatorCall::read
                                                 : OperatorCall::none;
   }
-  if (request.target == forgetPath) {
+  if (request.target == removeNodesPath) {
     return method == "POST" ? OperatorCall::forget : OperatorCall::none;
   }
   return zoneOf(request.target) && (method == "PUT" || method == "DELETE") ? OperatorCall::change : OperatorCall::none;
@@ -146,7 +146,7 @@
   return change;
 }
 
-std::variant<std::vector<std::string>, net::Answer> readForget(std::string const& body) {
+std::variant<std::vector<std::string>, net::Answer> readRemoveNodes(std::string const& body) {
   std::variant<picojson::value, net::Answer> read = readOneField(body, "nodes");
   if (net::Answer* const wrong = std::get_if<net::Answer>(&read)) {
     return std::move(*wrong);
@@ -189,19 +189,19 @@
 
 namespace {
 
-net::Answer outcomeOf(Decided const& decided, std::string const& change) {
+net::Answer outcomeOf(OrderOutcome const& decided, std::string const& change) {
   std::string const tail = ",\"version\":" + json(decided.version.text()) + ",\"change\":" + json(change) +
                            (decided.reason.empty() ? "" : ",\"reason\":" + json(decided.reason)) + "}";
   switch (decided.verdict) {
-    case Verdict::taken:
+    case OrderStatus::taken:
       return plain(200, "{\"outcome\":\"taken\"" + tail);
-    case Verdict::conflict:
+    case OrderStatus::conflict:
       return plain(409, "{\"outcome\":\"conflict\"" + tail);
-    case Verdict::notRun:
+    case OrderStatus::notRun:
       return plain(503, "{\"outcome\":\"not_run\"" + tail);
-    case Verdict::unknown:
+    case OrderStatus::unknown:
       return plain(504, "{\"outcome\":\"unknown\"" + tail);
-    case Verdict::refused:
+    case OrderStatus::refused:
       break;
   }
   std::string problems;
@@ -214,7 +214,7 @@
 
 }  // namespace
 
-net::Answer answerOf(Decided const& decided, std::string const& change) {
+net::Answer answerOf(OrderOutcome const& decided, std::string const& change) {
   net::Answer answer = outcomeOf(decided, change);
   answer.headers.emplace_back(changeHeader, change);
   return answer;
@@ -232,7 +232,7 @@
   return read->get("change").get<std::string>();
 }
 
-net::Answer answerOf(ReadBack const& back) {
+net::Answer answerOf(ConfigurationRead const& back) {
   net::Answer answer;
   answer.headers = {{"content-type", "application/json"},
                     {versionHeader, back.version.text()},
@@ -247,8 +247,8 @@
     answer.headers = net::withoutHopByHop(answer.headers);
     return answer;
   }
-  Decided decided;
-  decided.verdict = exchange.verdict == retry::Verdict::notRun ? Verdict::notRun : Verdict::unknown;
+  OrderOutcome decided;
+  decided.verdict = exchange.verdict == retry::Verdict::notRun ? OrderStatus::notRun : OrderStatus::unknown;
   decided.reason =
       exchange.verdict == retry::Verdict::notRun ? "the primary cannot be reached" : "the primary did not answer";
   return answerOf(decided, change);
--- a/libs/control/src/operator_calls.cpp
+++ b/libs/control/src/operator_calls.cpp
@@ -15,7 +15,7 @@
   } else if (operatorCallOf(inbound.content) == OperatorCall::change) {
     changeConfiguration(inbound);
   } else if (operatorCallOf(inbound.content) == OperatorCall::forget) {
-    forgetNodes(inbound);
+    removeNodes(inbound);
   } else if (operatorCallOf(inbound.content) == OperatorCall::read) {
     readConfiguration(inbound);
   } else if (target == "/limeramp/force-new-group" && method == "POST") {
@@ -25,7 +25,7 @@
   } else if (target == "/limeramp/status" && method == "GET") {
     inbound.respond(statusPage());
   } else if (target == "/limeramp/drain" && method == "POST") {
-    DrainAsked asked;
+    DrainRequested asked;
     on(asked);
     inbound.respond(plain(200, "{\"draining\":true}"));
   } else {
@@ -64,9 +64,9 @@
   stepService(wanted);
 }
 
-void ControlServer::Impl::forgetNodes(Incoming& inbound) {
+void ControlServer::Impl::removeNodes(Incoming& inbound) {
   std::variant<Change, net::Answer> read = readChange(inbound.content, inbound.arrivedAt);
-  std::variant<std::vector<std::string>, net::Answer> nodes = readForget(inbound.content.body);
+  std::variant<std::vector<std::string>, net::Answer> nodes = readRemoveNodes(inbound.content.body);
   for (net::Answer* const wrong : {std::get_if<net::Answer>(&read), std::get_if<net::Answer>(&nodes)}) {
     if (wrong != nullptr) {
       inbound.respond(std::move(*wrong));
@@ -80,7 +80,7 @@
   }
   std::uint64_t const ticket = ++lastTicket;
   waitingCalls.emplace(ticket, WaitingCall{std::move(inbound.respond), wanted.id});
-  stepService(Forget{ticket, std::get<std::vector<std::string>>(nodes), wanted.deadline});
+  stepService(RemoveNodes{ticket, std::get<std::vector<std::string>>(nodes), wanted.deadline});
 }
 
 }  // namespace limeramp::control
--- a/libs/control/src/order_evaluator.cpp
+++ b/libs/control/src/order_evaluator.cpp
@@ -13,13 +13,13 @@
 }
 
 Rejection refusal(std::string path, std::string reason) {
-  return {Verdict::refused, "", {{std::move(path), std::move(reason)}}};
+  return {OrderStatus::refused, "", {{std::move(path), std::move(reason)}}};
 }
 
 Rejection tooLong(std::size_t most) { return refusal("/", "longer than " + std::to_string(most) + " bytes"); }
 
 Rejection forgotten() {
-  return {Verdict::unknown, "the change is older than all that are remembered: it may have been taken", {}};
+  return {OrderStatus::unknown, "the change is older than all that are remembered: it may have been taken", {}};
 }
 
 /// A change whose key says nothing but its content, on no base: after another change, nothing tells a late repetition
@@ -30,10 +30,10 @@
 
 std::optional<Rejection> conflictOf(Change const& change, messages::State const& state) {
   if (change.base && *change.base != versionOf(state)) {
-    return Rejection{Verdict::conflict, "the version named is not the current one", {}};
+    return Rejection{OrderStatus::conflict, "the version named is not the current one", {}};
   }
   if (change.baseRevision && *change.baseRevision != state.revision) {
-    return Rejection{Verdict::conflict, "the revision named is not the current one", {}};
+    return Rejection{OrderStatus::conflict, "the revision named is not the current one", {}};
   }
   return std::nullopt;
 }
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-OrderEvaluator::OrderEvaluator(Policy const& policy, config::Language language)
-    : policy_(policy), language_(std::move(language)) {}
+OrderEvaluator::OrderEvaluator(ConfigServiceOptions const& options, config::Language language)
+    : options_(options), language_(std::move(language)) {}
 
 Evaluation OrderEvaluator::evaluate(Change const& order, messages::State const& state, std::uint64_t epoch) const {
   return order.zone ? evaluateZone(*order.zone, state) : evaluateConfiguration(order, state, epoch);
@@ -62,10 +62,10 @@
   if (evacuated == order.evacuated) {
     return AlreadyTaken{versionOf(state)};
   }
-  if (order.evacuated && zones.size() >= policy_.mostEvacuatedZones) {
-    return refusal("/", "more than " + std::to_string(policy_.mostEvacuatedZones) + " zones would be emptied");
+  if (order.evacuated && zones.size() >= options_.maxEvacuatedZones) {
+    return refusal("/", "more than " + std::to_string(options_.maxEvacuatedZones) + " zones would be emptied");
   }
-  Proposal out{state};
+  NewState out{state};
   if (order.evacuated) {
     out.next.evacuatedZones.push_back(order.zone);
   } else {
@@ -78,10 +78,10 @@
                                                  std::uint64_t epoch) const {
   ReceiptLookup const receipt = findReceipt(state, change);
   if (receipt.match == ReceiptMatch::otherContent) {
-    return Rejection{Verdict::refused, "the change id was used for another change", {}};
+    return Rejection{OrderStatus::refused, "the change id was used for another change", {}};
   }
   if (receipt.match == ReceiptMatch::same && isAmbiguous(change, receipt, state)) {
-    return Rejection{Verdict::unknown,
+    return Rejection{OrderStatus::unknown,
                      "this change was taken as " + receipt.version.text() +
                          ", and others since: name a version or a change id to bring it back",
                      {}};
@@ -94,7 +94,7 @@
 
 Evaluation OrderEvaluator::evaluateNew(Change const& change, messages::State const& state, std::uint64_t epoch) const {
   if (std::optional<Rejection> const conflict = conflictOf(change, state)) {
-    return mayBeForgotten(state, change, 0, policy_.mostReceipts) ? forgotten() : *conflict;
+    return mayBeForgotten(state, change, 0, options_.maxReceipts) ? forgotten() : *conflict;
   }
   std::variant<std::string, Rejection> document = documentOf(change, state);
   if (Rejection* const rejection = std::get_if<Rejection>(&document)) {
@@ -102,25 +102,25 @@
   }
   config::Checked checked = language_.check(std::get<std::string>(document));
   if (!checked.configuration) {
-    return Rejection{Verdict::refused, "", std::move(checked.problems)};
+    return Rejection{OrderStatus::refused, "", std::move(checked.problems)};
   }
   std::uint64_t const revision = checked.configuration->revision;
   if (std::optional<Rejection> const stale = staleRevision(change, revision, state)) {
-    return mayBeForgotten(state, change, revision, policy_.mostReceipts) ? forgotten() : *stale;
+    return mayBeForgotten(state, change, revision, options_.maxReceipts) ? forgotten() : *stale;
   }
-  Proposal out{state};
+  NewState out{state};
   out.next.document = std::get<std::string>(std::move(document));
   out.next.revision = revision > 0 ? revision : state.revision;
   out.next.configurationEpoch = epoch;
   out.next.configurationSequence = state.sequence + 1;
-  addReceipt(out.next, change, revision, policy_.mostReceipts);
+  addReceipt(out.next, change, revision, options_.maxReceipts);
   return out;
 }
 
 std::variant<std::string, Rejection> OrderEvaluator::documentOf(Change const& change,
                                                                 messages::State const& state) const {
-  if (change.body.size() > policy_.mostDocumentBytes) {
-    return tooLong(policy_.mostDocumentBytes);
+  if (change.body.size() > options_.maxDocumentBytes) {
+    return tooLong(options_.maxDocumentBytes);
   }
   if (!change.patch && language_.verbatim) {
     return change.body;
@@ -128,15 +128,15 @@
   if (!change.patch) {
     config::Checked checked = language_.check(change.body);
     if (!checked.configuration) {
-      return Rejection{Verdict::refused, "", std::move(checked.problems)};
+      return Rejection{OrderStatus::refused, "", std::move(checked.problems)};
     }
   }
   absl::StatusOr<std::string> merged = language_.merge(change.patch ? state.document : "", change.body);
   if (!merged.ok()) {
     return refusal("/", std::string(merged.status().message()));
   }
-  if (merged->size() > policy_.mostDocumentBytes) {
-    return tooLong(policy_.mostDocumentBytes);
+  if (merged->size() > options_.maxDocumentBytes) {
+    return tooLong(options_.maxDocumentBytes);
   }
   return *std::move(merged);
 }
--- a/libs/control/src/runner.cpp
+++ b/libs/control/src/order_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/control/runner.h"
+#include "limeramp/control/order_forwarder.h"
 
 #include "limeramp/control/operator_api.h"
 
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-struct Runner::Impl {
+struct OrderForwarder::Impl {
   Impl(net::HttpClient& clientIn, std::string const& advertiseIn, std::uint64_t firstAttempt, Post postIn)
       : client(clientIn), advertise(advertiseIn), post(std::move(postIn)), relay({}, firstAttempt) {}
 
@@ -73,9 +73,9 @@
         client.cancel(cancel->attempt);
       } else if (RelayDone const* const done = std::get_if<RelayDone>(&effect)) {
         finish(done->ticket, relayAnswer(*exchange, jobs.at(done->ticket).change));
-      } else if (Decided const* const decided = std::get_if<Decided>(&effect)) {
-        Decided said = *decided;
-        said.verdict = jobs.at(said.ticket).reads ? Verdict::notRun : said.verdict;
+      } else if (OrderOutcome const* const decided = std::get_if<OrderOutcome>(&effect)) {
+        OrderOutcome said = *decided;
+        said.verdict = jobs.at(said.ticket).reads ? OrderStatus::notRun : said.verdict;
         finish(said.ticket, answerOf(said, jobs.at(said.ticket).change));
       }
     }
@@ -94,18 +94,19 @@
   }
 };
 
-Runner::Runner(net::HttpClient& client, std::string const& advertise, std::uint64_t firstAttempt, Post post)
+OrderForwarder::OrderForwarder(net::HttpClient& client, std::string const& advertise, std::uint64_t firstAttempt,
+                               Post post)
     : impl_(std::make_unique<Impl>(client, advertise, firstAttempt, std::move(post))) {}
 
-Runner::~Runner() = default;
+OrderForwarder::~OrderForwarder() = default;
 
-void Runner::take(TimePoint now, TimePoint arrivedAt, net::Request content, net::Responder respond) {
+void OrderForwarder::take(TimePoint now, TimePoint arrivedAt, net::Request content, net::Responder respond) {
   bool const reads = operatorCallOf(content) == OperatorCall::read;
   std::variant<Change, net::Answer> change = reads ? Change{} : readChange(content, arrivedAt);
   std::variant<TimePoint, net::Answer> deadline = readDeadline(content, arrivedAt);
   std::variant<std::vector<std::string>, net::Answer> nodes;
   if (operatorCallOf(content) == OperatorCall::forget) {
-    nodes = readForget(content.body);
+    nodes = readRemoveNodes(content.body);
   }
   for (net::Answer* const wrong :
        {std::get_if<net::Answer>(&change), std::get_if<net::Answer>(&deadline), std::get_if<net::Answer>(&nodes)}) {
@@ -116,7 +117,7 @@
   }
   std::string const& id = std::get<Change>(change).id;
   if (net::findHeader(content.headers, relayedHeader)) {
-    respond(answerOf(Decided{0, Verdict::notRun, {}, {}, "this node is not the primary"}, id));
+    respond(answerOf(OrderOutcome{0, OrderStatus::notRun, {}, {}, "this node is not the primary"}, id));
     return;
   }
   content.headers = net::withoutHopByHop(content.headers);
@@ -131,18 +132,18 @@
   content.headers.emplace_back("limeramp-from", impl_->advertise);
   std::uint64_t const ticket = ++impl_->lastTicket;
   impl_->jobs.emplace(ticket, Job{std::move(content), id, std::move(respond), reads});
-  impl_->drive(now, RelayAsked{ticket, std::get<TimePoint>(deadline)});
+  impl_->drive(now, RelayRequested{ticket, std::get<TimePoint>(deadline)});
 }
 
-void Runner::hear(TimePoint now, RunBack& back) {
+void OrderForwarder::onFinished(TimePoint now, ForwardFinished& back) {
   std::unordered_map<std::uint64_t, Job>::const_iterator const job = impl_->jobs.find(back.ticket);
   if (job != impl_->jobs.end()) {
     RelayOutcome const outcome = outcomeOf(back.exchange, job->second);
-    impl_->drive(now, RelayReturned{back.ticket, back.attempt, outcome}, &back.exchange);
+    impl_->drive(now, RelayAttemptFinished{back.ticket, back.attempt, outcome}, &back.exchange);
   }
 }
 
-void Runner::tick(TimePoint now, std::string const& primaryAddress) {
+void OrderForwarder::tick(TimePoint now, std::string const& primaryAddress) {
   if (primaryAddress != impl_->primary) {
     impl_->primary = primaryAddress;
     impl_->drive(now, RelayPrimary{primaryAddress});
--- a/libs/control/src/relay.cpp
+++ b/libs/control/src/relay.cpp
@@ -16,16 +16,16 @@
 }  // namespace
 
 struct Relay::Impl {
-  RelayPolicy policy;
+  RelayOptions options;
   std::uint64_t lastAttempt = 0;
   std::string primary;
   std::map<std::uint64_t, Entry> entries;
   std::vector<RelayEffect> effects;
   TimePoint now{};
 
-  void on(RelayAsked const& event) {
-    if (entries.size() >= policy.mostRelays) {
-      effects.emplace_back(Decided{event.ticket, Verdict::notRun, {}, {}, "too many changes wait"});
+  void on(RelayRequested const& event) {
+    if (entries.size() >= options.maxRelays) {
+      effects.emplace_back(OrderOutcome{event.ticket, OrderStatus::notRun, {}, {}, "too many changes wait"});
       return;
     }
     entries.emplace(event.ticket, Entry{event.deadline, now, "", 0, false});
@@ -37,7 +37,7 @@
     push();
   }
 
-  void on(RelayReturned const& event) {
+  void on(RelayAttemptFinished const& event) {
     std::map<std::uint64_t, Entry>::iterator const found = entries.find(event.ticket);
     if (found == entries.end() || found->second.attempt != event.attempt) {
       return;
@@ -49,7 +49,7 @@
     }
     Entry& entry = found->second;
     entry.attempt = 0;
-    entry.nextAt = now + policy.againMs;
+    entry.nextAt = now + options.againMs;
     entry.mayHaveRun = entry.mayHaveRun || event.outcome == RelayOutcome::mayHaveRun;
   }
 
@@ -67,11 +67,11 @@
       }
       if (ended) {
         effects.emplace_back(
-            Decided{row->first,
-                    entry.mayHaveRun ? Verdict::unknown : Verdict::notRun,
-                    {},
-                    {},
-                    primary.empty() ? "no primary is known here" : "the primary gave no answer in time"});
+            OrderOutcome{row->first,
+                         entry.mayHaveRun ? OrderStatus::unknown : OrderStatus::notRun,
+                         {},
+                         {},
+                         primary.empty() ? "no primary is known here" : "the primary gave no answer in time"});
         row = entries.erase(row);
         continue;
       }
@@ -85,8 +85,8 @@
   }
 };
 
-Relay::Relay(RelayPolicy const& policy, std::uint64_t firstAttempt) : impl_(std::make_unique<Impl>()) {
-  impl_->policy = policy;
+Relay::Relay(RelayOptions const& options, std::uint64_t firstAttempt) : impl_(std::make_unique<Impl>()) {
+  impl_->options = options;
   impl_->lastAttempt = firstAttempt;
 }
 
--- a/libs/control/src/roster_planner.cpp
+++ b/libs/control/src/roster_planner.cpp
@@ -6,15 +6,16 @@
 namespace limeramp::control {
 namespace {
 
-bool hasLeft(TimePoint now, Policy const& policy, NodeTracker const& tracker, std::string const& node) {
+bool hasLeft(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker, std::string const& node) {
   TrackedNode const* const found = tracker.find(node);
   bool const saidSo = found != nullptr && found->leaving;
-  return saidSo || now - tracker.heardAt(node) > policy.rosterForgetMs || tracker.persistentlyGone(now, node);
+  return saidSo || now - tracker.lastReceivedAt(node) > options.rosterForgetMs || tracker.persistentlyGone(now, node);
 }
 
-void removeThoseThatLeft(TimePoint now, Policy const& policy, NodeTracker const& tracker, RosterPlan& plan) {
+void removeThoseThatLeft(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker,
+                         RosterPlan& plan) {
   std::erase_if(plan.roster, [&](messages::RosterEntry const& entry) {
-    bool const left = hasLeft(now, policy, tracker, entry.node);
+    bool const left = hasLeft(now, options, tracker, entry.node);
     plan.changes += left ? " -" + entry.node : "";
     return left;
   });
@@ -47,10 +48,10 @@
 
 }  // namespace
 
-RosterPlan planRoster(TimePoint now, Policy const& policy, std::vector<messages::RosterEntry> const& current,
-                      NodeTracker const& tracker) {
+RosterPlan planRoster(TimePoint now, ConfigServiceOptions const& options,
+                      std::vector<messages::RosterEntry> const& current, NodeTracker const& tracker) {
   RosterPlan plan{current, ""};
-  removeThoseThatLeft(now, policy, tracker, plan);
+  removeThoseThatLeft(now, options, tracker, plan);
   std::set<std::uint64_t> takenSlots;
   for (messages::RosterEntry const& entry : plan.roster) {
     takenSlots.insert(entry.slot);
--- a/libs/control/src/roster_planner.h
+++ b/libs/control/src/roster_planner.h
@@ -17,7 +17,7 @@
   std::string changes;
 };
 
-RosterPlan planRoster(TimePoint now, Policy const& policy, std::vector<messages::RosterEntry> const& current,
-                      NodeTracker const& tracker);
+RosterPlan planRoster(TimePoint now, ConfigServiceOptions const& options,
+                      std::vector<messages::RosterEntry> const& current, NodeTracker const& tracker);
 
 }  // namespace limeramp::control
--- a/libs/control/src/state_machines.cpp
+++ b/libs/control/src/state_machines.cpp
@@ -21,22 +21,23 @@
 
 }  // namespace
 
-void ControlServer::Impl::stepGroup(replication::Event const& event) {
-  for (replication::Effect const& effect : group.step(Clock::now(), event)) {
+void ControlServer::Impl::stepGroup(replication::GroupEvent const& event) {
+  for (replication::GroupEffect const& effect : group.step(Clock::now(), event)) {
     if (replication::Send const* const outgoing = std::get_if<replication::Send>(&effect)) {
       peerLink.send(group.decided().fleet, outgoing->address, outgoing->message);
     } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
       this->persist(*persist);
-    } else if (replication::LogEntry const* const note = std::get_if<replication::LogEntry>(&effect)) {
-      logging::raise(note->event, {{"about", note->about}});
+    } else if (replication::LogEntry const* const recordReport = std::get_if<replication::LogEntry>(&effect)) {
+      logging::raise(recordReport->event, {{"about", recordReport->about}});
     } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
       stepService(*committed);
-    } else if (replication::Doubtful const* const doubtful = std::get_if<replication::Doubtful>(&effect)) {
-      stepService(*doubtful);
-    } else if (replication::Active const* const active = std::get_if<replication::Active>(&effect)) {
+    } else if (replication::OutcomeUnknown const* const outcomeUnknown =
+                   std::get_if<replication::OutcomeUnknown>(&effect)) {
+      stepService(*outcomeUnknown);
+    } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
       stepService(*active);
-    } else if (std::holds_alternative<replication::Inactive>(effect)) {
-      stepService(replication::Inactive{});
+    } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
+      stepService(replication::SteppedDown{});
     } else if (replication::NewGroupForced const* const newGroupForced =
                    std::get_if<replication::NewGroupForced>(&effect)) {
       finishForcingNewGroup(newGroupForced->refusal);
@@ -44,20 +45,20 @@
   }
 }
 
-void ControlServer::Impl::stepService(Event const& event) {
-  for (Effect const& effect : service.step(Clock::now(), group, event)) {
-    if (replication::Offer const* const offer = std::get_if<replication::Offer>(&effect)) {
+void ControlServer::Impl::stepService(ConfigServiceEvent const& event) {
+  for (ConfigServiceEffect const& effect : service.step(Clock::now(), group, event)) {
+    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
       stepGroup(*offer);
-    } else if (Decided const* const decided = std::get_if<Decided>(&effect)) {
+    } else if (OrderOutcome const* const decided = std::get_if<OrderOutcome>(&effect)) {
       apply(*decided);
-    } else if (ReadBack const* const back = std::get_if<ReadBack>(&effect)) {
+    } else if (ConfigurationRead const* const back = std::get_if<ConfigurationRead>(&effect)) {
       reply(back->ticket, answerOf(*back));
     } else if (Probe const* const wanted = std::get_if<Probe>(&effect)) {
       probe(*wanted);
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
       peerLink.send(group.decided().fleet, outgoing->address, outgoing->message);
-    } else if (replication::LogEntry const* const note = std::get_if<replication::LogEntry>(&effect)) {
-      logging::raise(note->event, {{"about", note->about}});
+    } else if (replication::LogEntry const* const recordReport = std::get_if<replication::LogEntry>(&effect)) {
+      logging::raise(recordReport->event, {{"about", recordReport->about}});
     }
   }
 }
@@ -68,13 +69,13 @@
   }
 }
 
-void ControlServer::Impl::apply(Decided const& decided) {
+void ControlServer::Impl::apply(OrderOutcome const& decided) {
   std::unordered_map<std::uint64_t, WaitingCall>::iterator const found = waitingCalls.find(decided.ticket);
   if (found == waitingCalls.end()) {
     return;
   }
   std::string const change = found->second.change;
-  if (decided.verdict == Verdict::refused || decided.verdict == Verdict::conflict) {
+  if (decided.verdict == OrderStatus::refused || decided.verdict == OrderStatus::conflict) {
     logging::raise(logging::Event::configurationRefused, {{"change", change}});
   }
   reply(decided.ticket, answerOf(decided, change));
@@ -96,7 +97,7 @@
   request.target = "/limeramp/ready";
   client.begin(probeAttempts + token, net::Address::parse(effect.address).value_or(net::Address{}), std::move(request),
                Clock::now() + probeWaitMs, [this, token, node](net::Exchange const& exchange) {
-                 inboundMessages.push(Probed{token, provesGone(exchange, node)});
+                 inboundMessages.push(ProbeFinished{token, provesGone(exchange, node)});
                });
 }
 
@@ -109,15 +110,15 @@
   fleetElsewhere = fleetElsewhere || (fleet.empty() && !received->fleet.empty());
   Clock::time_point const now = Clock::now();
   if (messages::Shuffle const* const shuffle = std::get_if<messages::Shuffle>(&received->message)) {
-    peerLink.sendAll(group.decided().fleet, views.hear(now, received->from, received->address, *shuffle));
-  } else if (messages::Poll const* const poll = std::get_if<messages::Poll>(&received->message)) {
-    stepService(Polled{received->address, *poll});
-  } else if (messages::News const* const news = std::get_if<messages::News>(&received->message)) {
-    if (forcingNewGroup && received->address == forcingNewGroup->from && news->state && !received->fleet.empty()) {
-      stepGroup(replication::ForceNewGroup{received->fleet, withReceipts(*news->state, group.state())});
+    peerLink.sendAll(group.decided().fleet, views.onMessage(now, received->from, received->address, *shuffle));
+  } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received->message)) {
+    stepService(StateRequestReceived{received->address, *poll});
+  } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&received->message)) {
+    if (forcingNewGroup && received->address == forcingNewGroup->from && response->state && !received->fleet.empty()) {
+      stepGroup(replication::ForceNewGroup{received->fleet, withReceipts(*response->state, group.state())});
     }
   } else {
-    stepGroup(replication::Received{received->from, received->address, std::move(received->message)});
+    stepGroup(replication::MessageReceived{received->from, received->address, std::move(received->message)});
   }
 }
 
--- a/libs/control/src/status_pages.cpp
+++ b/libs/control/src/status_pages.cpp
@@ -14,15 +14,15 @@
 
 std::string json(std::optional<Ms> const& spanMs) { return spanMs ? std::to_string(spanMs->count()) : "null"; }
 
-std::string witnessJson(std::string const& witness, std::optional<Ms> const& heardMs) {
-  return "{\"id\":" + json(witness) + ",\"heard_ms\":" + json(heardMs) + "}";
+std::string witnessJson(std::string const& witness, std::optional<Ms> const& sinceReportMs) {
+  return "{\"id\":" + json(witness) + ",\"heard_ms\":" + json(sinceReportMs) + "}";
 }
 
 std::string nodeJson(NodeView const& node) {
   return "{\"node\":" + json(node.node) + ",\"address\":" + json(node.address) + ",\"zone\":" + json(node.zone) +
          ",\"slot\":" + std::to_string(node.slot) + ",\"confirmed\":" + json(node.confirmed.text()) +
          ",\"gone\":" + json(node.gone) +
-         ",\"heard_ms\":" + json(node.everHeard ? std::optional<Ms>(node.heardMs) : std::nullopt) + "}";
+         ",\"heard_ms\":" + json(node.everReported ? std::optional<Ms>(node.sinceReportMs) : std::nullopt) + "}";
 }
 
 template <typename Element, typename Write>
@@ -37,9 +37,9 @@
 }  // namespace
 
 net::Answer ControlServer::Impl::readinessPage() const {
-  bool const serving = !draining && !group.ailing() && group.decided().epoch > 0;
+  bool const serving = !draining && !group.unhealthy() && group.decided().epoch > 0;
   std::string const reason = draining                     ? "draining"
-                             : group.ailing()             ? "disk"
+                             : group.unhealthy()          ? "disk"
                              : group.decided().epoch == 0 ? "not founded"
                                                           : "";
   return plain(serving ? 200 : 503, "{\"ready\":" + std::string(serving ? "true" : "false") +
@@ -57,13 +57,13 @@
                      ",\"primary_address\":" + json(group.primaryAddress()) + ",\"backups\":" + "[" +
                      listOf(decided.backups, [](std::string const& backup) { return json(backup); }) + "]" +
                      ",\"replica\":" + json(replica) + ",\"active\":" + json(group.active()) +
-                     ",\"sealed\":" + std::to_string(group.fenced()) + ",\"ailing\":" + json(group.ailing()) +
-                     ",\"leaving\":" + json(std::string(replication::nameOf(group.leaveProgress()))) +
+                     ",\"sealed\":" + std::to_string(group.fenced()) + ",\"ailing\":" + json(group.unhealthy()) +
+                     ",\"leaving\":" + json(std::string(replication::nameOf(group.shutdownProgress()))) +
                      ",\"state\":" + json(config::Version{state.epoch, state.sequence}.text()) + ",\"version\":" +
                      json(config::Version{state.configurationEpoch, state.configurationSequence}.text()) +
                      ",\"pending\":" + std::to_string(service.pending()) + ",\"witnesses\":[";
   body += listOf(decided.witnesses, [&](std::string const& witness) {
-    return witnessJson(witness, witness == id ? Ms(0) : group.heardMs(now, witness));
+    return witnessJson(witness, witness == id ? Ms(0) : group.sinceHeartbeatMs(now, witness));
   });
   body += "],\"nodes\":[";
   body += listOf(service.active() ? service.nodes(now) : std::vector<NodeView>{}, nodeJson);
--- a/libs/discovery/include/limeramp/discovery/server_directory.h
+++ b/libs/discovery/include/limeramp/discovery/server_directory.h
@@ -28,10 +28,10 @@
   std::chrono::milliseconds firstPeersMs{300};
   /// How long a node without tables leaves the list to the first node of its zone.
   std::chrono::milliseconds firstReaderMs{1000};
-  std::chrono::milliseconds backOffMostMs{2000};
+  std::chrono::milliseconds backOffMaxMs{2000};
   std::chrono::milliseconds stepInMs{200};
   std::chrono::milliseconds coldRiseMs{500};
-  std::size_t mostPages = 64;
+  std::size_t maxPages = 64;
   std::chrono::milliseconds emptyHeldMs{10'000};
   std::chrono::milliseconds followerMs{2000};
 };
@@ -51,7 +51,7 @@
 
 class Desk {
  public:
-  Desk(DeskPolicy const& policy, std::string const& node, std::string const& address, std::string const& zone);
+  Desk(DeskPolicy const& options, std::string const& node, std::string const& address, std::string const& zone);
   ~Desk();
   Desk(Desk&&) noexcept;
   Desk& operator=(Desk&&) noexcept;
@@ -60,8 +60,8 @@
   void setListRate(std::chrono::milliseconds listMs, std::chrono::milliseconds pageMs);
 
   DeskStep tick(TimePoint now, Around const& around);
-  DeskStep hear(TimePoint now, std::string const& address, messages::TablePoll const& message);
-  DeskStep hear(TimePoint now, std::string const& address, messages::TableNews const& message);
+  DeskStep onMessage(TimePoint now, std::string const& address, messages::TableRequest const& message);
+  DeskStep onMessage(TimePoint now, std::string const& address, messages::TableResponse const& message);
   DeskStep listed(TimePoint now, List const& list);
   void listFailed();
   void listFailed(TimePoint now, bool overRate);
--- a/libs/discovery/src/list.cpp
+++ b/libs/discovery/src/list.cpp
@@ -8,7 +8,7 @@
 namespace limeramp::discovery {
 namespace {
 
-constexpr std::size_t mostTokenBytes = 1024;
+constexpr std::size_t maxTokenBytes = 1024;
 
 }
 
@@ -24,7 +24,7 @@
   List out;
   if (parsed->get<picojson::object>().contains("next_page") && parsed->get("next_page").is<std::string>()) {
     out.nextPage = parsed->get("next_page").get<std::string>();
-    if (out.nextPage.size() > mostTokenBytes) {
+    if (out.nextPage.size() > maxTokenBytes) {
       return absl::InvalidArgumentError("the list's next_page is too long");
     }
   }
--- a/libs/discovery/src/server_directory.cpp
+++ b/libs/discovery/src/server_directory.cpp
@@ -9,7 +9,7 @@
 
 using Ms = std::chrono::milliseconds;
 
-constexpr std::size_t mostSheets = 2000;
+constexpr std::size_t maxSheets = 2000;
 
 struct Listener {
   std::string address;
@@ -51,7 +51,7 @@
 }  // namespace
 
 struct Desk::Impl {
-  DeskPolicy policy;
+  DeskPolicy options;
   std::string node;
   std::string address;
   std::string zone;
@@ -118,9 +118,9 @@
         continue;
       }
       Seen& entry = known->second;
-      older = older || firstAt + policy.listMs < entry.firstAt;
+      older = older || firstAt + options.listMs < entry.firstAt;
       entry.firstAt = std::min(entry.firstAt, firstAt);
-      if (row.coldMs == 0 || entry.coldToldMs == 0 || coldUntil > entry.coldUntil + policy.coldRiseMs) {
+      if (row.coldMs == 0 || entry.coldToldMs == 0 || coldUntil > entry.coldUntil + options.coldRiseMs) {
         entry.coldToldMs = row.coldMs;
         entry.coldUntil = coldUntil;
       }
@@ -180,7 +180,7 @@
     if ((own || blank || !page.empty()) && !listPending && now >= nextListAt) {
       listPending = true;
       if (page.empty()) {
-        nextListAt = now + std::max(policy.listMs, policy.pageMs * static_cast<long>(lastPages));
+        nextListAt = now + std::max(options.listMs, options.pageMs * static_cast<long>(lastPages));
       }
       out.readList = true;
       out.page = page;
@@ -188,7 +188,7 @@
   }
 
   Ms oldNewsMs() const {
-    return std::max(policy.oldNewsMs, std::max(policy.listMs, policy.pageMs * static_cast<long>(lastPages)) * 5 / 2);
+    return std::max(options.oldNewsMs, std::max(options.listMs, options.pageMs * static_cast<long>(lastPages)) * 5 / 2);
   }
 
   /// Before this node knows its services it may read the list all the same, so that it has their servers once it does.
@@ -201,12 +201,12 @@
     if (hasTables || !startedAt) {
       return false;
     }
-    Ms const leaveToOthersMs = !knowsZone ? policy.firstPeersMs : isFirstOfZone ? Ms(0) : policy.firstReaderMs;
+    Ms const leaveToOthersMs = !knowsZone ? options.firstPeersMs : isFirstOfZone ? Ms(0) : options.firstReaderMs;
     return now - *startedAt >= leaveToOthersMs + spreadOfFirstRead();
   }
 
   Ms spreadOfFirstRead() const {
-    return policy.firstReadMs * static_cast<long>(XXH64(node.data(), node.size(), 1) % 100) / 100;
+    return options.firstReadMs * static_cast<long>(XXH64(node.data(), node.size(), 1) % 100) / 100;
   }
 
   void restartList() {
@@ -217,23 +217,23 @@
 
   void push(TimePoint now, std::vector<std::string> const& changed, std::vector<distribution::Outgoing>& sends) {
     for (std::pair<std::string const, Listener>& entry : listeners) {
-      messages::TableNews news;
-      news.node = node;
+      messages::TableResponse response;
+      response.node = node;
       for (std::string const& service : changed) {
-        if (entry.second.has.contains(service) && now - entry.second.at <= policy.followerMs) {
-          news.tables.push_back(tableOf(now, service, true));
+        if (entry.second.has.contains(service) && now - entry.second.at <= options.followerMs) {
+          response.tables.push_back(tableOf(now, service, true));
         }
       }
-      if (!news.tables.empty()) {
-        sends.push_back({entry.second.address, std::move(news)});
+      if (!response.tables.empty()) {
+        sends.push_back({entry.second.address, std::move(response)});
       }
     }
   }
 };
 
-Desk::Desk(DeskPolicy const& policy, std::string const& node, std::string const& address, std::string const& zone)
+Desk::Desk(DeskPolicy const& options, std::string const& node, std::string const& address, std::string const& zone)
     : impl_(std::make_unique<Impl>()) {
-  impl_->policy = policy;
+  impl_->options = options;
   impl_->node = node;
   impl_->address = address;
   impl_->zone = zone;
@@ -244,8 +244,8 @@
 Desk& Desk::operator=(Desk&&) noexcept = default;
 
 void Desk::setListRate(std::chrono::milliseconds listMs, std::chrono::milliseconds pageMs) {
-  impl_->policy.listMs = listMs;
-  impl_->policy.pageMs = pageMs;
+  impl_->options.listMs = listMs;
+  impl_->options.pageMs = pageMs;
 }
 
 DeskStep Desk::tick(TimePoint now, Around const& around) {
@@ -257,25 +257,25 @@
     return out;
   }
   impl.services = around.services;
-  impl.nextPollAt = now + impl.policy.pollMs;
+  impl.nextPollAt = now + impl.options.pollMs;
   std::erase_if(impl.suspects,
                 [&](std::pair<std::string const, TimePoint> const& entry) { return now >= entry.second; });
   std::erase_if(impl.askedAt, [&](std::pair<std::string const, TimePoint> const& entry) {
-    bool const late = now - entry.second > impl.policy.replyMs;
+    bool const late = now - entry.second > impl.options.replyMs;
     if (late) {
-      impl.suspects[entry.first] = now + impl.policy.suspectMs;
+      impl.suspects[entry.first] = now + impl.options.suspectMs;
     }
     return late;
   });
   std::erase_if(impl.listeners, [&](std::pair<std::string const, Listener> const& entry) {
-    return now - entry.second.at > impl.policy.followerMs;
+    return now - entry.second.at > impl.options.followerMs;
   });
-  std::map<std::string, messages::TablePoll> polls;
+  std::map<std::string, messages::TableRequest> polls;
   std::string first;
   std::string elder;
   std::size_t position = 0;
   std::size_t place = 0;
-  for (std::string const& candidate : distribution::rankHomes("list/" + impl.zone, around.zoneAddresses)) {
+  for (std::string const& candidate : distribution::rankByRendezvousHash("list/" + impl.zone, around.zoneAddresses)) {
     if (candidate == impl.address) {
       position = place;
     }
@@ -292,16 +292,16 @@
     Sheet& sheet = impl.sheets[service];
     bool const old = !sheet.asOf || now - *sheet.asOf > impl.oldNewsMs();
     TimePoint const oldSince = sheet.asOf ? *sheet.asOf + impl.oldNewsMs() : *impl.startedAt;
-    if (first == impl.address || (old && now - oldSince >= impl.policy.stepInMs * position)) {
-      sheet.servedUntil = std::max(sheet.servedUntil, now + impl.policy.pollMs * 2);
+    if (first == impl.address || (old && now - oldSince >= impl.options.stepInMs * position)) {
+      sheet.servedUntil = std::max(sheet.servedUntil, now + impl.options.pollMs * 2);
     }
     std::string home = first;
-    bool const young = now - *impl.startedAt <= impl.policy.youngMs;
+    bool const young = now - *impl.startedAt <= impl.options.youngMs;
     if (home == impl.address && young) {
       home = elder;
     }
     if (!home.empty() && home != impl.address) {
-      messages::TablePoll& poll = polls[home];
+      messages::TableRequest& poll = polls[home];
       poll.node = impl.node;
       poll.address = impl.address;
       messages::Table has;
@@ -310,7 +310,7 @@
       poll.have.push_back(std::move(has));
     }
   }
-  for (std::pair<std::string const, messages::TablePoll>& entry : polls) {
+  for (std::pair<std::string const, messages::TableRequest>& entry : polls) {
     impl.askedAt.try_emplace(entry.first, now);
     out.sends.push_back({entry.first, std::move(entry.second)});
   }
@@ -318,31 +318,31 @@
   return out;
 }
 
-DeskStep Desk::hear(TimePoint now, std::string const&, messages::TablePoll const& message) {
+DeskStep Desk::onMessage(TimePoint now, std::string const&, messages::TableRequest const& message) {
   Impl& impl = *impl_;
   DeskStep out;
   Listener& listener = impl.listeners[message.node];
   listener.address = message.address;
   listener.at = now;
   listener.has.clear();
-  messages::TableNews news;
-  news.node = impl.node;
+  messages::TableResponse response;
+  response.node = impl.node;
   for (messages::Table const& has : message.have) {
-    if (impl.sheets.size() >= mostSheets && !impl.sheets.contains(has.service)) {
+    if (impl.sheets.size() >= maxSheets && !impl.sheets.contains(has.service)) {
       continue;
     }
     Sheet& sheet = impl.sheets[has.service];
-    sheet.servedUntil = now + impl.policy.followerMs;
+    sheet.servedUntil = now + impl.options.followerMs;
     listener.has[has.service] = has.digest;
     if (sheet.asOf && now - *sheet.asOf <= impl.oldNewsMs()) {
-      news.tables.push_back(impl.tableOf(now, has.service, sheet.digest != has.digest));
+      response.tables.push_back(impl.tableOf(now, has.service, sheet.digest != has.digest));
     }
   }
-  out.sends.push_back({message.address, std::move(news)});
+  out.sends.push_back({message.address, std::move(response)});
   return out;
 }
 
-DeskStep Desk::hear(TimePoint now, std::string const& address, messages::TableNews const& message) {
+DeskStep Desk::onMessage(TimePoint now, std::string const& address, messages::TableResponse const& message) {
   Impl& impl = *impl_;
   DeskStep out;
   impl.askedAt.erase(address);
@@ -357,13 +357,13 @@
       sheet.asOf = now;
     }
   }
-  bool const settled = impl.startedAt && now - *impl.startedAt > impl.policy.youngMs;
+  bool const settled = impl.startedAt && now - *impl.startedAt > impl.options.youngMs;
   bool const stale =
       std::any_of(impl.sheets.begin(), impl.sheets.end(), [&](std::pair<std::string const, Sheet> const& entry) {
         return entry.second.asOf && now - *entry.second.asOf > impl.oldNewsMs();
       });
   if (settled && stale && message.tables.empty()) {
-    impl.suspects[address] = now + impl.policy.suspectMs;
+    impl.suspects[address] = now + impl.options.suspectMs;
   }
   return out;
 }
@@ -373,7 +373,7 @@
   DeskStep out;
   impl.listPending = false;
   impl.listFailures = 0;
-  if (!page.nextPage.empty() && impl.pages + 1 >= impl.policy.mostPages) {
+  if (!page.nextPage.empty() && impl.pages + 1 >= impl.options.maxPages) {
     impl.restartList();
     return out;
   }
@@ -405,7 +405,7 @@
   impl.restartList();
   if (list.rows == 0 && impl.lastRows > 0) {
     impl.emptySince = impl.emptySince.value_or(now);
-    if (now - *impl.emptySince < impl.policy.emptyHeldMs) {
+    if (now - *impl.emptySince < impl.options.emptyHeldMs) {
       out.emptyHeld = true;
       for (std::pair<std::string const, Sheet>& entry : impl.sheets) {
         if (now <= entry.second.servedUntil && entry.second.asOf) {
@@ -419,7 +419,7 @@
   impl.lastRows = list.rows;
   impl.listedAt = now;
   for (std::pair<std::string const, std::vector<dispatch::ServerRow>> const& entry : list.services) {
-    if (impl.sheets.size() < mostSheets) {
+    if (impl.sheets.size() < maxSheets) {
       impl.sheets.try_emplace(entry.first);
     }
   }
@@ -447,7 +447,7 @@
     impl.restartList();
   }
   impl.listFailures = std::min<std::size_t>(impl.listFailures + 1, 4);
-  Ms const waitMs = std::min(impl.policy.backOffMostMs, impl.policy.listMs * (1L << impl.listFailures) / 2);
+  Ms const waitMs = std::min(impl.options.backOffMaxMs, impl.options.listMs * (1L << impl.listFailures) / 2);
   std::uint64_t const spread = XXH64(impl.node.data(), impl.node.size(), impl.listFailures) % 100;
   impl.nextListAt = now + waitMs + waitMs * static_cast<long>(spread) / 200;
 }
--- a/libs/dispatch/src/impl.h
+++ b/libs/dispatch/src/impl.h
@@ -19,7 +19,7 @@
 }
 
 constexpr std::size_t priorities = 16;
-constexpr std::size_t mostKinds = 8;
+constexpr std::size_t maxKinds = 8;
 
 struct LegKey {
   std::uint64_t request = 0;
--- a/libs/dispatch/src/machine.cpp
+++ b/libs/dispatch/src/machine.cpp
@@ -106,7 +106,7 @@
   refusal.ending = Ending::refused;
   refusal.verdict = retry::Verdict::notRun;
   refusal.reason = reason;
-  refusal.retryAfter = policy.retryLeastMs;
+  refusal.retryAfter = policy.retryMinMs;
   std::string const service = event.services.empty() ? "" : event.services.front();
   std::unordered_map<std::string, std::uint32_t>::const_iterator const known = serviceIndex.find(service);
   if (known != serviceIndex.end()) {
@@ -136,7 +136,7 @@
   state.deadline = event.deadline;
   double const wholeMs = millis(event.deadline - now);
   double const marginMs = std::min(wholeMs / 2, std::clamp(wholeMs * policy.marginShareOfDeadline,
-                                                           millis(policy.marginLeastMs), millis(policy.marginMostMs)));
+                                                           millis(policy.marginMinMs), millis(policy.marginMaxMs)));
   state.answerBy = event.deadline - fine(marginMs);
   state.offerBy = TimePoint::max();
   if (event.aim > now && event.aim < event.deadline) {
@@ -175,7 +175,7 @@
 
 Ms Machine::Impl::retryAfter(ServiceState const& service) const {
   double const roomMs = service.latencies.typicalMs() + waitMs(service, service.waitingCount);
-  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), policy.retryLeastMs, policy.retryMostMs);
+  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), policy.retryMinMs, policy.retryMaxMs);
 }
 
 void Machine::Impl::closeAttempt(RequestState& request, std::uint32_t index, retry::Attempt const& attempt, bool lost) {
@@ -186,7 +186,7 @@
     if (held != server->open.end()) {
       server->open.erase(held);
     }
-    leg.tenant->ghosts.push_back(now + std::min<TimePoint::duration>(policy.ghostMostMs, now - attempt.began));
+    leg.tenant->ghosts.push_back(now + std::min<TimePoint::duration>(policy.ghostMaxMs, now - attempt.began));
     if (!lost) {
       narrow(service, *leg.tenant, millis(now - attempt.began));
     }
--- a/libs/dispatch/src/queue.cpp
+++ b/libs/dispatch/src/queue.cpp
@@ -181,9 +181,9 @@
 
 TimePoint Machine::Impl::rerunAt(RequestState const& request, Leg const& leg) const {
   Latencies const& seen = latenciesOf(services[leg.service], request.kind);
-  double const mostMs = millis(request.deadline - request.arrivedAt) * policy.stragglerShareOfDeadline;
-  double const learntMs = seen.known() ? seen.tailMs() * policy.stragglerFactor : mostMs;
-  double thresholdMs = std::clamp(learntMs, std::min(mostMs, millis(policy.stragglerLeastMs)), mostMs);
+  double const maxMs = millis(request.deadline - request.arrivedAt) * policy.stragglerShareOfDeadline;
+  double const learntMs = seen.known() ? seen.tailMs() * policy.stragglerFactor : maxMs;
+  double thresholdMs = std::clamp(learntMs, std::min(maxMs, millis(policy.stragglerMinMs)), maxMs);
   TimePoint const began = leg.ledger.lastBegan();
   if (!request.aimBy) {
     return began + fine(thresholdMs);
--- a/libs/dispatch/src/servers.cpp
+++ b/libs/dispatch/src/servers.cpp
@@ -110,7 +110,7 @@
 
 double Machine::Impl::silentMs(ServiceState const& service) const {
   return service.latencies.known()
-             ? std::max(millis(policy.stragglerLeastMs), service.latencies.tailMs() * policy.stragglerFactor)
+             ? std::max(millis(policy.stragglerMinMs), service.latencies.tailMs() * policy.stragglerFactor)
              : millis(policy.silentFirstMs);
 }
 
@@ -235,7 +235,7 @@
     effects.emplace_back(Note{logging::Event::serverDown, service.name, server.row.address});
   }
   server.downMs = server.downMs.count() == 0 ? std::max(policy.downFirstMs, server.quietMs * 2)
-                                             : std::min(policy.downMostMs, server.downMs * 2);
+                                             : std::min(policy.downMaxMs, server.downMs * 2);
   server.downUntil = now + server.downMs;
   server.trialAt = now;
 }
@@ -311,7 +311,7 @@
                      [&](std::pair<std::size_t, Latencies> const& entry) { return entry.first == kind; });
     if (mine != service.kinds.end()) {
       mine->second.add(latencyMs, policy.stragglerQuantile);
-    } else if (service.kinds.size() < mostKinds) {
+    } else if (service.kinds.size() < maxKinds) {
       service.kinds.emplace_back(kind, Latencies{});
       service.kinds.back().second.add(latencyMs, policy.stragglerQuantile);
     }
@@ -338,7 +338,7 @@
 
 void Machine::Impl::noteUnanswered(ServiceState& service, ServerState& server, TimePoint began, bool lost) {
   double const seenMs = millis(now - began);
-  server.ghosts.push_back(now + std::min<TimePoint::duration>(policy.ghostMostMs, now - began));
+  server.ghosts.push_back(now + std::min<TimePoint::duration>(policy.ghostMaxMs, now - began));
   if (!lost) {
     server.limit = std::max(1.0, server.limit * policy.limitShrink);
   }
@@ -351,7 +351,7 @@
     markDown(service, server);
   } else if (server.answeredAt <= began && seenMs > silentMs(service)) {
     server.quietMs =
-        server.quietMs.count() == 0 ? policy.quietFirstMs : std::min(policy.quietMostMs, server.quietMs * 2);
+        server.quietMs.count() == 0 ? policy.quietFirstMs : std::min(policy.quietMaxMs, server.quietMs * 2);
     server.quietUntil = now + server.quietMs;
     server.trialAt = now;
   }
--- a/libs/distribution/include/limeramp/distribution/config_delivery.h
+++ b/libs/distribution/include/limeramp/distribution/config_delivery.h
@@ -13,9 +13,9 @@
 
 namespace limeramp::distribution {
 
-struct ConfigDeliveryPolicy {
+struct ConfigDeliveryOptions {
   std::chrono::milliseconds pollMs{200};
-  std::chrono::milliseconds afarPollMs{350};
+  std::chrono::milliseconds remotePollMs{350};
   std::chrono::milliseconds replyMs{450};
   std::chrono::milliseconds suspectMs{3000};
   std::chrono::milliseconds stalenessCheckMs{1300};
@@ -23,7 +23,7 @@
   std::chrono::milliseconds followerMs{2000};
   std::chrono::milliseconds recoverAfterMs{1000};
   /// How long the answer of a node that knew nothing newer is good before it is asked again.
-  std::chrono::milliseconds contactGoodMs{1000};
+  std::chrono::milliseconds peerConfirmationValidMs{1000};
   /// How long a newer state that another node has named may take to come before it is asked for.
   std::chrono::milliseconds fetchAfterMs{150};
 };
@@ -31,10 +31,10 @@
 /// The same report of a node that is alive, confirming nothing.
 messages::Follower withoutVersion(messages::Follower follower);
 
-enum class Standing { unknown, unlisted, stale, current, upheld };
+enum class ConfigFreshness { noConfiguration, notMember, stale, confirmedByPrimary, confirmedByMajority };
 
 struct DeliveryStatus {
-  Standing standing = Standing::unknown;
+  ConfigFreshness freshness = ConfigFreshness::noConfiguration;
   std::chrono::milliseconds ageMs{0};
   /// How many versions the newest one that was heard of is ahead of the one that is here.
   std::uint64_t versionsBehind = 0;
@@ -47,7 +47,7 @@
 
 class ConfigDelivery {
  public:
-  ConfigDelivery(ConfigDeliveryPolicy const& policy, messages::Follower const& self, std::uint64_t boot,
+  ConfigDelivery(ConfigDeliveryOptions const& options, messages::Follower const& self, std::uint64_t boot,
                  std::uint64_t seed);
   ~ConfigDelivery();
   ConfigDelivery(ConfigDelivery const&);
@@ -56,9 +56,9 @@
   ConfigDelivery& operator=(ConfigDelivery&&) noexcept;
 
   ConfigDeliveryStep tick(TimePoint now, std::vector<messages::Peer> const& peers);
-  ConfigDeliveryStep hear(TimePoint now, std::string const& address, messages::Poll const& message);
-  ConfigDeliveryStep hear(TimePoint now, std::string const& address, messages::News const& message);
-  ConfigDeliveryStep hear(TimePoint now, std::string const& address, messages::StateUpdate const& message);
+  ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateRequest const& message);
+  ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateResponse const& message);
+  ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateUpdate const& message);
 
   void leave();
   DeliveryStatus status(TimePoint now) const;
--- a/libs/distribution/include/limeramp/distribution/incarnations.h
+++ b/libs/distribution/include/limeramp/distribution/incarnations.h
@@ -20,12 +20,12 @@
   /// The digest of a set without records. No digest is 0, which on the wire means "none given".
   static constexpr std::uint64_t emptyDigest = 1;
 
-  void merge(std::vector<messages::IncarnationRecord> const& heard);
+  void merge(std::vector<messages::IncarnationRecord> const& received);
 
   /// Takes in the records of a sender whose set has `senderDigest` (0 from versions that give none). The sender leaves
   /// `heard` empty if it believes its records to be known here. False if its set may hold a record that this one lacks:
   /// then nothing that the sender confirms may be counted, since a record might overrule it.
-  bool learn(std::uint64_t senderDigest, std::vector<messages::IncarnationRecord> const& heard);
+  bool learn(std::uint64_t senderDigest, std::vector<messages::IncarnationRecord> const& received);
 
   /// Records that `node` runs as the start `boot`, with a higher rank than any start recorded for it before.
   void record(std::string const& node, std::uint64_t boot);
--- a/libs/distribution/include/limeramp/distribution/peer_views.h
+++ b/libs/distribution/include/limeramp/distribution/peer_views.h
@@ -19,21 +19,21 @@
   messages::Message message;
 };
 
-struct ViewPolicy {
-  std::size_t mostPeers = 32;
-  std::size_t mostShuffled = 10;
-  std::size_t mostShuffledAfar = 6;
-  std::size_t afarEvery = 6;
+struct PeerViewOptions {
+  std::size_t maxPeers = 32;
+  std::size_t maxShuffled = 10;
+  std::size_t maxShuffledRemote = 6;
+  std::size_t remoteShuffleEvery = 6;
   std::size_t fewPeers = 3;
   std::chrono::milliseconds shuffleMs{300};
   std::chrono::milliseconds forgetMs{6000};
-  std::chrono::milliseconds seedHeardMs{5000};
+  std::chrono::milliseconds seedAliveMs{5000};
   std::chrono::milliseconds loneFoundingMs{4000};
 };
 
 class PeerViews {
  public:
-  PeerViews(ViewPolicy const& policy, messages::Peer const& self, std::vector<std::string> const& seeds,
+  PeerViews(PeerViewOptions const& options, messages::Peer const& self, std::vector<std::string> const& seeds,
             std::uint64_t seed);
   ~PeerViews();
   PeerViews(PeerViews&&) noexcept;
@@ -45,8 +45,8 @@
   void setSeeds(std::vector<std::string> const& seeds);
 
   std::vector<Outgoing> tick(TimePoint now, bool eager = false);
-  std::vector<Outgoing> hear(TimePoint now, std::string const& from, std::string const& address,
-                             messages::Shuffle const& message);
+  std::vector<Outgoing> onMessage(TimePoint now, std::string const& from, std::string const& address,
+                                  messages::Shuffle const& message);
   std::vector<messages::Peer> peers(TimePoint now) const;
   bool mayFound(TimePoint now) const;
 
@@ -55,6 +55,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-std::vector<std::string> rankHomes(std::string const& topic, std::vector<std::string> nodes);
+std::vector<std::string> rankByRendezvousHash(std::string const& topic, std::vector<std::string> nodes);
 
 }  // namespace limeramp::distribution
--- a/libs/distribution/include/limeramp/distribution/staleness_check.h
+++ b/libs/distribution/include/limeramp/distribution/staleness_check.h
@@ -13,7 +13,7 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
-struct StalenessCheckPolicy {
+struct StalenessCheckOptions {
   /// Questions go out at most once in this time.
   std::chrono::milliseconds sliceMs{112};
   /// A question that has waited longer than this for its answer no longer counts as under way.
@@ -34,8 +34,8 @@
  public:
   using Answered = std::function<bool(std::string const& node)>;
 
-  StalenessCheck(StalenessCheckPolicy const& policy, std::string const& self, std::uint64_t seed)
-      : policy_(policy), self_(self), cursor_(seed) {}
+  StalenessCheck(StalenessCheckOptions const& options, std::string const& self, std::uint64_t seed)
+      : options_(options), self_(self), cursor_(seed) {}
 
   /// The nodes to ask now. `needed` answers of other nodes are wanted; `answered` says whose last answer is still good.
   std::vector<messages::RosterEntry> due(TimePoint now, std::vector<messages::RosterEntry> const& roster,
@@ -46,7 +46,7 @@
                      Answered const& answered) const;
   bool askedWithin(TimePoint now, std::string const& node, std::chrono::milliseconds time) const;
 
-  StalenessCheckPolicy policy_;
+  StalenessCheckOptions options_;
   std::string self_;
   std::uint64_t cursor_;
   TimePoint nextAt_{};
--- a/libs/distribution/include/limeramp/distribution/state_feed.h
+++ b/libs/distribution/include/limeramp/distribution/state_feed.h
@@ -17,27 +17,27 @@
 /// could have arrived over a slow link, so that a link which is slower than the polls does not fill up.
 namespace limeramp::distribution {
 
-struct StateFeedPolicy {
+struct StateFeedOptions {
   /// A follower that has not polled for this long is sent no pushes.
   std::chrono::milliseconds followerMs{2000};
   /// A configuration is sent again at the earliest this long after it, and all that was sent before it, could have left
   /// over a link of `bytesPerMs`.
   std::chrono::milliseconds resendMs{150};
   std::size_t bytesPerMs = 500;
-  std::size_t mostFollowers = 1000;
+  std::size_t maxFollowers = 1000;
 };
 
 class StateFeed {
  public:
-  explicit StateFeed(StateFeedPolicy const& policy = {}) : policy_(policy) {}
+  explicit StateFeed(StateFeedOptions const& options = {}) : options_(options) {}
 
   /// `previous` is no longer the newest state.
   void replaced(TimePoint now, messages::State const& previous);
   /// The answer to a poll: `news` alone if the poller has the newest state or wants none, or if none is known here.
-  messages::Message answer(TimePoint now, messages::State const* newest, messages::Poll const& poll,
-                           messages::News news);
+  messages::Message answer(TimePoint now, messages::State const* newest, messages::StateRequest const& poll,
+                           messages::StateResponse response);
   /// What the followers lack, each with `news`.
-  std::vector<Outgoing> push(TimePoint now, messages::State const& newest, messages::News const& news);
+  std::vector<Outgoing> push(TimePoint now, messages::State const& newest, messages::StateResponse const& response);
   /// Adds what decides over later sends to the digest of the whole state machine.
   void digest(messages::StateDigest& digest) const;
 
@@ -46,16 +46,16 @@
     std::string address;
     messages::StateVersion has;
     std::optional<messages::PartVersions> parts;
-    TimePoint heardAt{};
+    TimePoint lastReceivedAt{};
     messages::StateVersion sentConfiguration;
     TimePoint underWayUntil{};
   };
 
   std::optional<messages::Message> next(TimePoint now, messages::State const& newest, Position& follower,
-                                        messages::News const& news);
+                                        messages::StateResponse const& response);
   void documentSent(TimePoint now, messages::State const& newest, Position& follower);
 
-  StateFeedPolicy policy_;
+  StateFeedOptions options_;
   RosterHistory rosters_;
   std::map<std::string, Position> followers_;
   TimePoint linkBusyUntil_{};
--- a/libs/distribution/include/limeramp/distribution/state_update.h
+++ b/libs/distribution/include/limeramp/distribution/state_update.h
@@ -37,7 +37,7 @@
 /// What brings a follower that has `parts` to `state`: the configuration only if its version differs, the roster as a
 /// difference to the one it has, or to the empty one if that is not in `history`.
 messages::StateUpdate updateFor(messages::State const& state, messages::PartVersions const& parts,
-                                RosterHistory const& history, messages::News news);
+                                RosterHistory const& history, messages::StateResponse response);
 
 /// The state that `update` leads to from `current`; nothing if `current` is not what the update builds on.
 std::optional<messages::State> applyUpdate(std::optional<messages::State> const& current,
--- a/libs/distribution/src/config_delivery.cpp
+++ b/libs/distribution/src/config_delivery.cpp
@@ -14,15 +14,15 @@
 using Ms = std::chrono::milliseconds;
 using messages::StateVersion;
 
-constexpr std::size_t mostListeners = 1000;
-constexpr std::size_t mostContacts = 2000;
-constexpr std::size_t mostPeersKnown = 2000;
+constexpr std::size_t maxFollowers = 1000;
+constexpr std::size_t maxPeerConfirmations = 2000;
+constexpr std::size_t maxPeersKnown = 2000;
 
 /// Why a node polls another: to follow its state; to report to the primary beside the home that it follows; to hear
 /// whether it knows a newer state; or, after a restart, to be recorded and hear the same.
 enum class Purpose { follow, report, verify, recover };
 
-struct Asked {
+struct PendingRequest {
   std::string address;
   TimePoint at{};
   Purpose purpose = Purpose::follow;
@@ -32,7 +32,7 @@
   bool ownStartRecorded = false;
 };
 
-struct Listener {
+struct FollowerReport {
   messages::Follower follower;
   messages::PeerStatus peerStatus;
   TimePoint at{};
@@ -47,36 +47,36 @@
 }
 
 struct ConfigDelivery::Impl {
-  ConfigDeliveryPolicy policy;
+  ConfigDeliveryOptions options;
   messages::Follower self;
   std::mt19937_64 random;
   std::optional<messages::State> state;
   std::string primaryAddress;
-  std::optional<TimePoint> anchor;
-  std::map<std::string, TimePoint> contacts;
-  std::map<std::uint64_t, Asked> asked;
+  std::optional<TimePoint> confirmedAt;
+  std::map<std::string, TimePoint> peerConfirmations;
+  std::map<std::uint64_t, PendingRequest> pendingRequests;
   std::map<std::string, TimePoint> suspects;
-  std::map<std::string, Listener> listeners;
+  std::map<std::string, FollowerReport> followers;
   std::uint64_t lastToken = 0;
   TimePoint nextPollAt{};
   TimePoint nextFirstStateAt{};
   std::optional<TimePoint> behindSince;
   std::string fetchFrom;
   TimePoint nextFetchAt{};
-  std::size_t turn = 0;
-  bool hurry = false;
+  std::size_t nextController = 0;
+  bool pollNow = false;
   std::optional<TimePoint> startedAt;
-  bool settled = false;
+  bool caughtUp = false;
   messages::PeerStatus peerStatus;
   IncarnationRecords incarnations;
   std::map<std::string, std::uint64_t> digestsOfPeers;
-  std::map<std::string, std::uint64_t> recovering;
+  std::map<std::string, std::uint64_t> confirmedIncarnations;
   StalenessCheck stalenessCheck{{}, "", 0};
 
   StateFeed feed;
-  StateVersion newestHeard;
+  StateVersion newestKnown;
 
-  StateVersion mark() const { return state ? state->version() : StateVersion{}; }
+  StateVersion stateVersion() const { return state ? state->version() : StateVersion{}; }
 
   bool listed() const {
     return state && std::any_of(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
@@ -90,12 +90,12 @@
     return found != digestsOfPeers.end() && found->second == incarnations.digest();
   }
 
-  messages::Poll makePoll(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow) {
-    messages::Poll poll;
+  messages::StateRequest makeRequest(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow) {
+    messages::StateRequest poll;
     poll.token = ++lastToken;
     poll.self = self;
-    poll.self.epoch = mark().epoch;
-    poll.self.sequence = mark().sequence;
+    poll.self.epoch = stateVersion().epoch;
+    poll.self.sequence = stateVersion().sequence;
     poll.recover = purpose == Purpose::recover;
     poll.follows = purpose == Purpose::follow;
     poll.parts = partVersionsOf(state);
@@ -105,15 +105,15 @@
     if (sends) {
       poll.peerStatuses.back().incarnations = incarnations.list();
     }
-    asked[poll.token] = {
+    pendingRequests[poll.token] = {
         address, now, purpose, poll.incarnationsDigest, sends, incarnations.holds(self.node, peerStatus.boot)};
     return poll;
   }
 
   /// A poll of the primary also reports the followers. What they know of incarnations is in this node's own list.
-  messages::Poll makeReport(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow) {
-    messages::Poll poll = makePoll(now, address, purpose);
-    for (std::pair<std::string const, Listener> const& entry : listeners) {
+  messages::StateRequest makeReport(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow) {
+    messages::StateRequest poll = makeRequest(now, address, purpose);
+    for (std::pair<std::string const, FollowerReport> const& entry : followers) {
       messages::PeerStatus const& status = entry.second.peerStatus;
       poll.followers.push_back(entry.second.follower);
       poll.peerStatuses.push_back({status.node, status.boot, status.leaving, {}});
@@ -125,13 +125,14 @@
     if (!listed() || !incarnations.trusts(self.node, peerStatus.boot)) {
       return false;
     }
-    std::size_t const count = static_cast<std::size_t>(std::count_if(
-        state->roster.begin(), state->roster.end(),
-        [&](messages::RosterEntry const& entry) { return entry.node != self.node && hasVouched(entry.node); }));
+    std::size_t const count = static_cast<std::size_t>(
+        std::count_if(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
+          return entry.node != self.node && hasConfirmedIncarnation(entry.node);
+        }));
     return count >= (state->roster.size() + 1) / 2;
   }
 
-  std::vector<std::string> homes(std::vector<messages::Peer> const& peers) const {
+  std::vector<std::string> zoneOwners(std::vector<messages::Peer> const& peers) const {
     std::map<std::string, std::string> zone;
     if (state) {
       for (messages::RosterEntry const& entry : state->roster) {
@@ -152,7 +153,7 @@
       names.push_back(entry.first);
     }
     std::vector<std::string> out;
-    for (std::string const& name : rankHomes("configuration/" + self.zone, names)) {
+    for (std::string const& name : rankByRendezvousHash("configuration/" + self.zone, names)) {
       out.push_back(zone[name]);
     }
     return out;
@@ -168,11 +169,11 @@
         known.push_back(peer.address);
       }
     }
-    return known.empty() ? primaryAddress : known[++turn % known.size()];
+    return known.empty() ? primaryAddress : known[++nextController % known.size()];
   }
 
   bool adopt(TimePoint now, messages::State next) {
-    if (next.version() <= mark()) {
+    if (next.version() <= stateVersion()) {
       return false;
     }
     bool const served = state && state->evacuatedZones == next.evacuatedZones &&
@@ -183,107 +184,108 @@
     }
     state = std::move(next);
     state->receipts.clear();
-    if (mark() >= newestHeard) {
+    if (stateVersion() >= newestKnown) {
       behindSince.reset();
     }
-    hurry = hurry || !served;
+    pollNow = pollNow || !served;
     return true;
   }
 
-  void listen(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status) {
-    Listener& listener = listeners[follower.node];
-    StateVersion const had{listener.follower.epoch, listener.follower.sequence};
+  void recordFollower(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status) {
+    FollowerReport& report = followers[follower.node];
+    StateVersion const had{report.follower.epoch, report.follower.sequence};
     StateVersion const has{follower.epoch, follower.sequence};
-    hurry = hurry || (had != has && has == mark());
-    listener = {follower, status, now};
-    if (listeners.size() > mostListeners) {
-      listeners.erase(listeners.begin());
+    pollNow = pollNow || (had != has && has == stateVersion());
+    report = {follower, status, now};
+    if (followers.size() > maxFollowers) {
+      followers.erase(followers.begin());
     }
   }
 
   std::vector<Outgoing> pushes(TimePoint now) {
-    messages::News news;
-    news.node = self.node;
-    news.epoch = mark().epoch;
-    news.sequence = mark().sequence;
-    news.primaryAddress = primaryAddress;
-    return feed.push(now, *state, news);
-  }
-
-  messages::Message answer(TimePoint now, messages::Poll const& poll) {
-    messages::News news;
-    news.token = poll.token;
-    news.node = self.node;
-    news.epoch = mark().epoch;
-    news.sequence = mark().sequence;
-    news.primaryAddress = primaryAddress;
-    news.settled = settled;
-    news.boot = peerStatus.boot;
-    news.incarnationsDigest = incarnations.digest();
-    if ((poll.follows || poll.recover) && poll.incarnationsDigest != news.incarnationsDigest) {
-      news.incarnations = incarnations.list();
+    messages::StateResponse response;
+    response.node = self.node;
+    response.epoch = stateVersion().epoch;
+    response.sequence = stateVersion().sequence;
+    response.primaryAddress = primaryAddress;
+    return feed.push(now, *state, response);
+  }
+
+  messages::Message answer(TimePoint now, messages::StateRequest const& poll) {
+    messages::StateResponse response;
+    response.token = poll.token;
+    response.node = self.node;
+    response.epoch = stateVersion().epoch;
+    response.sequence = stateVersion().sequence;
+    response.primaryAddress = primaryAddress;
+    response.caughtUp = caughtUp;
+    response.boot = peerStatus.boot;
+    response.incarnationsDigest = incarnations.digest();
+    if ((poll.follows || poll.recover) && poll.incarnationsDigest != response.incarnationsDigest) {
+      response.incarnations = incarnations.list();
     }
-    if (anchor) {
-      news.hasAge = true;
-      news.ageMs = static_cast<std::uint64_t>(std::chrono::duration_cast<Ms>(now - *anchor).count()) + 1;
+    if (confirmedAt) {
+      response.hasAge = true;
+      response.ageMs = static_cast<std::uint64_t>(std::chrono::duration_cast<Ms>(now - *confirmedAt).count()) + 1;
     }
-    return feed.answer(now, state ? &*state : nullptr, poll, std::move(news));
+    return feed.answer(now, state ? &*state : nullptr, poll, std::move(response));
   }
 
   /// A node whose state is old asks nodes of the roster whether they know a newer one.
-  void askRoster(TimePoint now, bool worried, std::vector<Outgoing>& sends) {
-    bool const alone = worried && state && (settled || now - *startedAt >= policy.recoverAfterMs);
-    if (!alone) {
+  void askRoster(TimePoint now, bool confirmationOverdue, std::vector<Outgoing>& sends) {
+    bool const asksRoster = confirmationOverdue && state && (caughtUp || now - *startedAt >= options.recoverAfterMs);
+    if (!asksRoster) {
       return;
     }
-    Purpose const purpose = settled ? Purpose::verify : Purpose::recover;
-    std::size_t const needed = settled ? state->roster.size() / 2 : (state->roster.size() + 1) / 2;
+    Purpose const purpose = caughtUp ? Purpose::verify : Purpose::recover;
+    std::size_t const needed = caughtUp ? state->roster.size() / 2 : (state->roster.size() + 1) / 2;
     StalenessCheck::Answered const answered = [&](std::string const& node) {
-      return settled ? heardWithin(now, node, policy.contactGoodMs) : hasVouched(node);
+      return caughtUp ? confirmedWithin(now, node, options.peerConfirmationValidMs) : hasConfirmedIncarnation(node);
     };
     for (messages::RosterEntry const& entry : stalenessCheck.due(now, state->roster, needed, answered)) {
-      sends.push_back({entry.address, makePoll(now, entry.address, purpose)});
+      sends.push_back({entry.address, makeRequest(now, entry.address, purpose)});
     }
   }
 
-  bool heardWithin(TimePoint now, std::string const& node, Ms time) const {
-    std::map<std::string, TimePoint>::const_iterator const found = contacts.find(node);
-    return found != contacts.end() && now - found->second < time;
+  bool confirmedWithin(TimePoint now, std::string const& node, Ms time) const {
+    std::map<std::string, TimePoint>::const_iterator const found = peerConfirmations.find(node);
+    return found != peerConfirmations.end() && now - found->second < time;
   }
 
   /// Whether this start of this node is known to a settled `node` that knows nothing newer.
-  bool hasVouched(std::string const& node) const {
-    std::map<std::string, std::uint64_t>::const_iterator const found = recovering.find(node);
-    return found != recovering.end() && incarnations.trusts(node, found->second);
+  bool hasConfirmedIncarnation(std::string const& node) const {
+    std::map<std::string, std::uint64_t>::const_iterator const found = confirmedIncarnations.find(node);
+    return found != confirmedIncarnations.end() && incarnations.trusts(node, found->second);
   }
 
   /// Another node has named a newer state than this one's. If nothing brings it soon, that node is asked for it, at
   /// most once in `replyMs`.
-  void noteNewer(TimePoint now, std::string const& address) {
+  void noteNewerVersion(TimePoint now, std::string const& address) {
     behindSince = behindSince.value_or(now);
     fetchFrom = address;
   }
 
   void fetch(TimePoint now, std::vector<Outgoing>& sends) {
-    if (behindSince && now - *behindSince >= policy.fetchAfterMs && now >= nextFetchAt) {
-      nextFetchAt = now + policy.replyMs;
-      sends.push_back({fetchFrom, makePoll(now, fetchFrom)});
+    if (behindSince && now - *behindSince >= options.fetchAfterMs && now >= nextFetchAt) {
+      nextFetchAt = now + options.replyMs;
+      sends.push_back({fetchFrom, makeRequest(now, fetchFrom)});
     }
   }
 
-  ConfigDeliveryStep hear(TimePoint now, std::string const& address, messages::News const& message,
-                          std::optional<messages::State> next);
-  void learnDigest(std::string const& address, Asked const& question, messages::News const& message);
-  void take(Asked const& question, messages::News const& message);
+  ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateResponse const& message,
+                               std::optional<messages::State> next);
+  void recordPeerDigest(std::string const& address, PendingRequest const& question,
+                        messages::StateResponse const& message);
+  void countConfirmation(PendingRequest const& question, messages::StateResponse const& message);
 
-  std::optional<TimePoint> upheldAt() const {
+  std::optional<TimePoint> majorityConfirmedAt() const {
     if (!listed()) {
       return std::nullopt;
     }
     std::vector<TimePoint> times;
     for (messages::RosterEntry const& entry : state->roster) {
-      std::map<std::string, TimePoint>::const_iterator const found = contacts.find(entry.node);
-      if (entry.node != self.node && found != contacts.end()) {
+      std::map<std::string, TimePoint>::const_iterator const found = peerConfirmations.find(entry.node);
+      if (entry.node != self.node && found != peerConfirmations.end()) {
         times.push_back(found->second);
       }
     }
@@ -299,14 +301,15 @@
   }
 };
 
-ConfigDeliveryStep ConfigDelivery::Impl::hear(TimePoint now, std::string const& address, messages::News const& message,
-                                              std::optional<messages::State> next) {
+ConfigDeliveryStep ConfigDelivery::Impl::onMessage(TimePoint now, std::string const& address,
+                                                   messages::StateResponse const& message,
+                                                   std::optional<messages::State> next) {
   ConfigDeliveryStep out;
   incarnations.merge(message.incarnations);
-  newestHeard = std::max(newestHeard, StateVersion{message.epoch, message.sequence});
+  newestKnown = std::max(newestKnown, StateVersion{message.epoch, message.sequence});
   out.changed = next && adopt(now, *std::move(next));
   if (!message.primaryAddress.empty()) {
-    hurry = hurry || (!state && primaryAddress != message.primaryAddress);
+    pollNow = pollNow || (!state && primaryAddress != message.primaryAddress);
     primaryAddress = message.primaryAddress;
   } else if (message.token != 0 && address == primaryAddress) {
     primaryAddress.clear();
@@ -314,42 +317,42 @@
   if (out.changed) {
     out.sends = pushes(now);
   }
-  std::map<std::uint64_t, Asked>::iterator const found = asked.find(message.token);
-  if (message.token == 0 || found == asked.end()) {
+  std::map<std::uint64_t, PendingRequest>::iterator const found = pendingRequests.find(message.token);
+  if (message.token == 0 || found == pendingRequests.end()) {
     return out;
   }
-  Asked const question = found->second;
-  learnDigest(address, question, message);
+  PendingRequest const question = found->second;
+  recordPeerDigest(address, question, message);
   suspects.erase(address);
-  asked.erase(found);
-  if (StateVersion{message.epoch, message.sequence} > mark()) {
+  pendingRequests.erase(found);
+  if (StateVersion{message.epoch, message.sequence} > stateVersion()) {
     if (question.purpose != Purpose::follow) {
-      noteNewer(now, address);
+      noteNewerVersion(now, address);
     }
     return out;
   }
-  take(question, message);
+  countConfirmation(question, message);
   return out;
 }
 
 /// A peer that lacked records which were not sent along has counted nothing of the poll: it is polled again at once,
 /// and this time is sent them.
-void ConfigDelivery::Impl::learnDigest(std::string const& address, Asked const& question,
-                                       messages::News const& message) {
-  if (digestsOfPeers.size() >= mostPeersKnown) {
+void ConfigDelivery::Impl::recordPeerDigest(std::string const& address, PendingRequest const& question,
+                                            messages::StateResponse const& message) {
+  if (digestsOfPeers.size() >= maxPeersKnown) {
     digestsOfPeers.clear();
   }
   digestsOfPeers[address] = message.incarnationsDigest;
   bool const counted = question.sentIncarnations || message.incarnationsDigest == question.incarnationsDigest;
   bool const confirms = question.purpose == Purpose::follow || question.purpose == Purpose::report;
-  hurry = hurry || (confirms && !counted);
+  pollNow = pollNow || (confirms && !counted);
 }
 
 /// The answer of a node that knows no newer state than this one.
-void ConfigDelivery::Impl::take(Asked const& question, messages::News const& message) {
+void ConfigDelivery::Impl::countConfirmation(PendingRequest const& question, messages::StateResponse const& message) {
   if (message.hasAge) {
     TimePoint const at = question.at - Ms(static_cast<long>(message.ageMs));
-    anchor = anchor ? std::max(*anchor, at) : at;
+    confirmedAt = confirmedAt ? std::max(*confirmedAt, at) : at;
   }
   bool const sameRecords = message.incarnationsDigest == question.incarnationsDigest && question.ownStartRecorded;
   bool const recorded =
@@ -357,30 +360,31 @@
                                  [&](messages::IncarnationRecord const& incarnation) {
                                    return incarnation.node == self.node && incarnation.boot == peerStatus.boot;
                                  });
-  if (question.purpose == Purpose::recover && message.settled && recorded && !settled) {
-    recovering[message.node] = message.boot;
+  if (question.purpose == Purpose::recover && message.caughtUp && recorded && !caughtUp) {
+    confirmedIncarnations[message.node] = message.boot;
   }
-  bool const caughtUp = anchor && startedAt && *anchor >= *startedAt;
-  if (caughtUp && !incarnations.trusts(self.node, peerStatus.boot)) {
+  bool const confirmedSinceStart = confirmedAt && startedAt && *confirmedAt >= *startedAt;
+  if (confirmedSinceStart && !incarnations.trusts(self.node, peerStatus.boot)) {
     incarnations.record(self.node, peerStatus.boot);
   }
-  settled = settled || caughtUp || recovered();
-  if (message.settled && (contacts.size() < mostContacts || contacts.contains(message.node))) {
-    TimePoint& contact = contacts[message.node];
-    contact = std::max(contact, question.at);
+  caughtUp = caughtUp || confirmedSinceStart || recovered();
+  if (message.caughtUp &&
+      (peerConfirmations.size() < maxPeerConfirmations || peerConfirmations.contains(message.node))) {
+    TimePoint& peerConfirmation = peerConfirmations[message.node];
+    peerConfirmation = std::max(peerConfirmation, question.at);
   }
 }
 
-ConfigDelivery::ConfigDelivery(ConfigDeliveryPolicy const& policy, messages::Follower const& self, std::uint64_t boot,
+ConfigDelivery::ConfigDelivery(ConfigDeliveryOptions const& options, messages::Follower const& self, std::uint64_t boot,
                                std::uint64_t seed)
     : impl_(std::make_unique<Impl>()) {
-  impl_->policy = policy;
+  impl_->options = options;
   impl_->self = self;
   impl_->peerStatus = {self.node, boot, false, {}};
   impl_->random.seed(seed);
   impl_->lastToken = impl_->random() >> 20;
-  StalenessCheckPolicy check;
-  check.replyMs = policy.replyMs;
+  StalenessCheckOptions check;
+  check.replyMs = options.replyMs;
   impl_->stalenessCheck = StalenessCheck(check, self.node, impl_->random() >> 20);
 }
 
@@ -399,47 +403,48 @@
   impl.startedAt = impl.startedAt.value_or(now);
   std::erase_if(impl.suspects,
                 [&](std::pair<std::string const, TimePoint> const& entry) { return now >= entry.second; });
-  std::erase_if(impl.asked, [&](std::pair<std::uint64_t const, Asked> const& entry) {
-    bool const late = now - entry.second.at > impl.policy.replyMs;
+  std::erase_if(impl.pendingRequests, [&](std::pair<std::uint64_t const, PendingRequest> const& entry) {
+    bool const late = now - entry.second.at > impl.options.replyMs;
     if (late) {
-      impl.suspects[entry.second.address] = now + impl.policy.suspectMs;
+      impl.suspects[entry.second.address] = now + impl.options.suspectMs;
     }
     return late;
   });
-  std::erase_if(impl.listeners, [&](std::pair<std::string const, Listener> const& entry) {
-    return now - entry.second.at > impl.policy.followerMs;
+  std::erase_if(impl.followers, [&](std::pair<std::string const, FollowerReport> const& entry) {
+    return now - entry.second.at > impl.options.followerMs;
   });
-  bool const worried = !impl.anchor || now - *impl.anchor > impl.policy.stalenessCheckMs;
-  if (now >= impl.nextPollAt || impl.hurry) {
-    impl.nextPollAt = now + impl.policy.pollMs;
-    impl.hurry = false;
+  bool const confirmationOverdue = !impl.confirmedAt || now - *impl.confirmedAt > impl.options.stalenessCheckMs;
+  if (now >= impl.nextPollAt || impl.pollNow) {
+    impl.nextPollAt = now + impl.options.pollMs;
+    impl.pollNow = false;
     std::string target;
-    for (std::string const& home : impl.homes(peers)) {
-      if (home == impl.self.address) {
+    for (std::string const& owner : impl.zoneOwners(peers)) {
+      if (owner == impl.self.address) {
         break;
       }
-      if (!impl.suspects.contains(home)) {
-        target = home;
+      if (!impl.suspects.contains(owner)) {
+        target = owner;
         break;
       }
     }
     std::string const control = impl.controlAddress(peers);
-    bool const afar = std::any_of(peers.begin(), peers.end(), [&](messages::Peer const& peer) {
+    bool const remote = std::any_of(peers.begin(), peers.end(), [&](messages::Peer const& peer) {
       return peer.address == control && peer.zone != impl.self.zone;
     });
     if (target.empty()) {
       target = control;
-      impl.nextPollAt = impl.state && afar && !worried ? now + impl.policy.afarPollMs : impl.nextPollAt;
+      impl.nextPollAt =
+          impl.state && remote && !confirmationOverdue ? now + impl.options.remotePollMs : impl.nextPollAt;
     }
     if (!target.empty()) {
-      out.sends.push_back({target, target == control ? impl.makeReport(now, target) : impl.makePoll(now, target)});
+      out.sends.push_back({target, target == control ? impl.makeReport(now, target) : impl.makeRequest(now, target)});
     }
-    if ((worried || impl.peerStatus.leaving) && !control.empty() && control != target) {
+    if ((confirmationOverdue || impl.peerStatus.leaving) && !control.empty() && control != target) {
       out.sends.push_back({control, impl.makeReport(now, control, Purpose::report)});
     }
   }
   if (!impl.state && now >= impl.nextFirstStateAt) {
-    impl.nextFirstStateAt = now + impl.policy.replyMs;
+    impl.nextFirstStateAt = now + impl.options.replyMs;
     std::vector<std::string> fronts;
     for (messages::Peer const& peer : peers) {
       if (peer.role == messages::gatewayRole && peer.address != impl.self.address) {
@@ -448,15 +453,15 @@
     }
     if (!fronts.empty()) {
       std::string const& chosen = fronts[impl.random() % fronts.size()];
-      out.sends.push_back({chosen, impl.makePoll(now, chosen, Purpose::verify)});
+      out.sends.push_back({chosen, impl.makeRequest(now, chosen, Purpose::verify)});
     }
   }
-  impl.askRoster(now, worried, out.sends);
+  impl.askRoster(now, confirmationOverdue, out.sends);
   impl.fetch(now, out.sends);
   return out;
 }
 
-ConfigDeliveryStep ConfigDelivery::hear(TimePoint now, std::string const&, messages::Poll const& message) {
+ConfigDeliveryStep ConfigDelivery::onMessage(TimePoint now, std::string const&, messages::StateRequest const& message) {
   Impl& impl = *impl_;
   ConfigDeliveryStep out;
   if (message.self.node.empty()) {
@@ -471,34 +476,35 @@
     }
   }
   bool const confirms = impl.incarnations.learn(message.incarnationsDigest, peerStatus.incarnations);
-  if (message.recover && impl.settled && peerStatus.boot != 0 && impl.state &&
+  if (message.recover && impl.caughtUp && peerStatus.boot != 0 && impl.state &&
       std::any_of(impl.state->roster.begin(), impl.state->roster.end(),
                   [&](messages::RosterEntry const& entry) { return entry.node == peerStatus.node; })) {
     impl.incarnations.record(peerStatus.node, peerStatus.boot);
   }
   if (message.follows) {
-    impl.listen(now, confirms ? message.self : withoutVersion(message.self), peerStatus);
+    impl.recordFollower(now, confirms ? message.self : withoutVersion(message.self), peerStatus);
   }
   out.sends.push_back({message.self.address, impl.answer(now, message)});
   return out;
 }
 
-ConfigDeliveryStep ConfigDelivery::hear(TimePoint now, std::string const& address, messages::News const& message) {
-  return impl_->hear(now, address, message, message.state);
+ConfigDeliveryStep ConfigDelivery::onMessage(TimePoint now, std::string const& address,
+                                             messages::StateResponse const& message) {
+  return impl_->onMessage(now, address, message, message.state);
 }
 
-ConfigDeliveryStep ConfigDelivery::hear(TimePoint now, std::string const& address,
-                                        messages::StateUpdate const& message) {
+ConfigDeliveryStep ConfigDelivery::onMessage(TimePoint now, std::string const& address,
+                                             messages::StateUpdate const& message) {
   Impl& impl = *impl_;
-  bool const newer = StateVersion{message.news.epoch, message.news.sequence} > impl.mark();
+  bool const newer = StateVersion{message.response.epoch, message.response.sequence} > impl.stateVersion();
   std::optional<messages::State> next = applyUpdate(impl.state, message);
-  impl.hurry = impl.hurry || (newer && !next);
-  return impl.hear(now, address, message.news, std::move(next));
+  impl.pollNow = impl.pollNow || (newer && !next);
+  return impl.onMessage(now, address, message.response, std::move(next));
 }
 
 void ConfigDelivery::leave() {
   impl_->peerStatus.leaving = true;
-  impl_->hurry = true;
+  impl_->pollNow = true;
 }
 
 DeliveryStatus ConfigDelivery::status(TimePoint now) const {
@@ -507,16 +513,19 @@
   if (!impl.state) {
     return out;
   }
-  out.versionsBehind = impl.newestHeard > impl.mark() ? impl.newestHeard.sequence - impl.mark().sequence : 0;
-  out.ageMs = impl.anchor ? std::chrono::duration_cast<Ms>(now - *impl.anchor) : Ms::max();
+  out.versionsBehind =
+      impl.newestKnown > impl.stateVersion() ? impl.newestKnown.sequence - impl.stateVersion().sequence : 0;
+  out.ageMs = impl.confirmedAt ? std::chrono::duration_cast<Ms>(now - *impl.confirmedAt) : Ms::max();
   if (!impl.listed() && !impl.peerStatus.leaving) {
-    out.standing = Standing::unlisted;
-  } else if (impl.anchor && now - *impl.anchor <= impl.policy.currentMs) {
-    out.standing = Standing::current;
+    out.freshness = ConfigFreshness::notMember;
+  } else if (impl.confirmedAt && now - *impl.confirmedAt <= impl.options.currentMs) {
+    out.freshness = ConfigFreshness::confirmedByPrimary;
   } else {
-    std::optional<TimePoint> const upheld = impl.upheldAt();
-    bool const held = impl.settled && upheld && (*upheld == TimePoint::max() || now - *upheld <= impl.policy.currentMs);
-    out.standing = held ? Standing::upheld : Standing::stale;
+    std::optional<TimePoint> const confirmedByMajority = impl.majorityConfirmedAt();
+    bool const majorityIsFresh =
+        impl.caughtUp && confirmedByMajority &&
+        (*confirmedByMajority == TimePoint::max() || now - *confirmedByMajority <= impl.options.currentMs);
+    out.freshness = majorityIsFresh ? ConfigFreshness::confirmedByMajority : ConfigFreshness::stale;
   }
   return out;
 }
--- a/libs/distribution/src/incarnations.cpp
+++ b/libs/distribution/src/incarnations.cpp
@@ -5,14 +5,14 @@
 namespace limeramp::distribution {
 namespace {
 
-constexpr std::size_t mostRecords = 2000;
+constexpr std::size_t maxRecords = 2000;
 
 }
 
-void IncarnationRecords::merge(std::vector<messages::IncarnationRecord> const& heard) {
+void IncarnationRecords::merge(std::vector<messages::IncarnationRecord> const& received) {
   bool changed = false;
-  for (messages::IncarnationRecord const& incarnation : heard) {
-    if (records_.size() >= mostRecords && !records_.contains(incarnation.node)) {
+  for (messages::IncarnationRecord const& incarnation : received) {
+    if (records_.size() >= maxRecords && !records_.contains(incarnation.node)) {
       continue;
     }
     messages::IncarnationRecord& entry = records_[incarnation.node];
@@ -29,10 +29,10 @@
   }
 }
 
-bool IncarnationRecords::learn(std::uint64_t senderDigest, std::vector<messages::IncarnationRecord> const& heard) {
-  bool const givesAll = senderDigest == 0 || senderDigest == emptyDigest || !heard.empty();
+bool IncarnationRecords::learn(std::uint64_t senderDigest, std::vector<messages::IncarnationRecord> const& received) {
+  bool const givesAll = senderDigest == 0 || senderDigest == emptyDigest || !received.empty();
   bool const known = givesAll || senderDigest == digest_;
-  merge(heard);
+  merge(received);
   return known;
 }
 
--- a/libs/distribution/src/peer_views.cpp
+++ b/libs/distribution/src/peer_views.cpp
@@ -20,39 +20,39 @@
 }  // namespace
 
 struct PeerViews::Impl {
-  ViewPolicy policy;
+  PeerViewOptions options;
   messages::Peer self;
   std::vector<std::string> seeds;
   std::vector<std::string> foundingSeeds;
   bool seedsAreNew = false;
   std::mt19937_64 random;
   std::map<std::string, Entry> entries;
-  std::map<std::string, TimePoint> heardAt;
+  std::map<std::string, TimePoint> lastReceivedAt;
   TimePoint nextAt{};
   std::optional<TimePoint> startedAt;
   std::size_t turn = 0;
 
   void forget(TimePoint now) {
     std::erase_if(entries, [&](std::pair<std::string const, Entry> const& entry) {
-      return now - entry.second.aliveAt > policy.forgetMs;
+      return now - entry.second.aliveAt > options.forgetMs;
     });
-    while (entries.size() > policy.mostPeers) {
+    while (entries.size() > options.maxPeers) {
       entries.erase(std::min_element(entries.begin(), entries.end(), [](auto const& left, auto const& right) {
         return left.second.aliveAt < right.second.aliveAt;
       }));
     }
   }
 
-  bool isAfar(std::string const& address) const {
+  bool isRemoteZone(std::string const& address) const {
     return std::any_of(entries.begin(), entries.end(), [&](std::pair<std::string const, Entry> const& entry) {
       return entry.second.peer.address == address && entry.second.peer.zone != self.zone;
     });
   }
 
-  std::string choose(bool afar) {
+  std::string choose(bool remote) {
     std::vector<std::string> addresses;
     for (std::pair<std::string const, Entry> const& entry : entries) {
-      if (entries.size() < policy.fewPeers || afar == (entry.second.peer.zone != self.zone)) {
+      if (entries.size() < options.fewPeers || remote == (entry.second.peer.zone != self.zone)) {
         addresses.push_back(entry.second.peer.address);
       }
     }
@@ -67,16 +67,16 @@
       out.push_back(std::move(peer));
     }
     std::shuffle(out.begin(), out.end(), random);
-    out.resize(std::min(out.size(), isAfar(to) ? policy.mostShuffledAfar : policy.mostShuffled));
+    out.resize(std::min(out.size(), isRemoteZone(to) ? options.maxShuffledRemote : options.maxShuffled));
     out.push_back(self);
     return out;
   }
 };
 
-PeerViews::PeerViews(ViewPolicy const& policy, messages::Peer const& self, std::vector<std::string> const& seeds,
+PeerViews::PeerViews(PeerViewOptions const& options, messages::Peer const& self, std::vector<std::string> const& seeds,
                      std::uint64_t seed)
     : impl_(std::make_unique<Impl>()) {
-  impl_->policy = policy;
+  impl_->options = options;
   impl_->self = self;
   impl_->self.ageMs = 0;
   impl_->seeds = seeds;
@@ -99,19 +99,19 @@
   if (now < impl_->nextAt) {
     return out;
   }
-  impl_->nextAt = now + impl_->policy.shuffleMs;
+  impl_->nextAt = now + impl_->options.shuffleMs;
   impl_->forget(now);
   ++impl_->turn;
   std::vector<std::string> targets;
-  bool const few = impl_->entries.size() < impl_->policy.fewPeers;
-  std::size_t const afarEvery = impl_->policy.afarEvery;
-  bool const afar = impl_->turn % afarEvery == 0;
-  bool const asksSeed = impl_->turn % (4 * afarEvery) == 0;
-  if (std::string const chosen = impl_->choose(afar); !chosen.empty() && !(asksSeed && !few)) {
+  bool const few = impl_->entries.size() < impl_->options.fewPeers;
+  std::size_t const remoteShuffleEvery = impl_->options.remoteShuffleEvery;
+  bool const remote = impl_->turn % remoteShuffleEvery == 0;
+  bool const asksSeed = impl_->turn % (4 * remoteShuffleEvery) == 0;
+  if (std::string const chosen = impl_->choose(remote); !chosen.empty() && !(asksSeed && !few)) {
     targets.push_back(chosen);
   }
   if (few || asksSeed) {
-    std::string const& seed = impl_->seeds[impl_->turn / (few ? 1 : 4 * afarEvery) % impl_->seeds.size()];
+    std::string const& seed = impl_->seeds[impl_->turn / (few ? 1 : 4 * remoteShuffleEvery) % impl_->seeds.size()];
     if (seed != impl_->self.address) {
       targets.push_back(seed);
     }
@@ -126,15 +126,15 @@
   return out;
 }
 
-std::vector<Outgoing> PeerViews::hear(TimePoint now, std::string const&, std::string const& address,
-                                      messages::Shuffle const& message) {
-  impl_->heardAt[address] = now;
-  if (impl_->heardAt.size() > 4 * impl_->policy.mostPeers) {
-    impl_->heardAt.erase(impl_->heardAt.begin());
+std::vector<Outgoing> PeerViews::onMessage(TimePoint now, std::string const&, std::string const& address,
+                                           messages::Shuffle const& message) {
+  impl_->lastReceivedAt[address] = now;
+  if (impl_->lastReceivedAt.size() > 4 * impl_->options.maxPeers) {
+    impl_->lastReceivedAt.erase(impl_->lastReceivedAt.begin());
   }
   for (messages::Peer const& peer : message.peers) {
     if (peer.node == impl_->self.node || peer.address == impl_->self.address ||
-        peer.ageMs > static_cast<std::uint64_t>(impl_->policy.forgetMs.count())) {
+        peer.ageMs > static_cast<std::uint64_t>(impl_->options.forgetMs.count())) {
       continue;
     }
     TimePoint const aliveAt = now - Ms(static_cast<long>(peer.ageMs));
@@ -163,19 +163,19 @@
 bool PeerViews::mayFound(TimePoint now) const {
   std::size_t const heard = static_cast<std::size_t>(
       std::count_if(impl_->foundingSeeds.begin(), impl_->foundingSeeds.end(), [&](std::string const& seed) {
-        std::map<std::string, TimePoint>::const_iterator const found = impl_->heardAt.find(seed);
+        std::map<std::string, TimePoint>::const_iterator const found = impl_->lastReceivedAt.find(seed);
         return seed == impl_->self.address ||
-               (found != impl_->heardAt.end() && now - found->second <= impl_->policy.seedHeardMs);
+               (found != impl_->lastReceivedAt.end() && now - found->second <= impl_->options.seedAliveMs);
       }));
-  bool const waited = impl_->startedAt && now - *impl_->startedAt >= impl_->policy.loneFoundingMs;
+  bool const waited = impl_->startedAt && now - *impl_->startedAt >= impl_->options.loneFoundingMs;
   return heard == impl_->foundingSeeds.size() || (waited && 2 * heard > impl_->foundingSeeds.size());
 }
 
-std::vector<std::string> rankHomes(std::string const& topic, std::vector<std::string> nodes) {
-  std::uint64_t const mark = XXH64(topic.data(), topic.size(), 0);
+std::vector<std::string> rankByRendezvousHash(std::string const& topic, std::vector<std::string> nodes) {
+  std::uint64_t const topicHash = XXH64(topic.data(), topic.size(), 0);
   std::sort(nodes.begin(), nodes.end(), [&](std::string const& left, std::string const& right) {
-    std::uint64_t const first = XXH64(left.data(), left.size(), mark);
-    std::uint64_t const second = XXH64(right.data(), right.size(), mark);
+    std::uint64_t const first = XXH64(left.data(), left.size(), topicHash);
+    std::uint64_t const second = XXH64(right.data(), right.size(), topicHash);
     return first != second ? first > second : left < right;
   });
   return nodes;
--- a/libs/distribution/src/staleness_check.cpp
+++ b/libs/distribution/src/staleness_check.cpp
@@ -20,9 +20,9 @@
   std::size_t const goal = needed + needed / neededPerReserve + 1;
   std::size_t const good =
       static_cast<std::size_t>(std::count_if(roster.begin(), roster.end(), [&](messages::RosterEntry const& entry) {
-        return entry.node != self_ && (answered(entry.node) || askedWithin(now, entry.node, policy_.replyMs));
+        return entry.node != self_ && (answered(entry.node) || askedWithin(now, entry.node, options_.replyMs));
       }));
-  std::size_t const inOneSlice = roster.size() / policy_.slices + 1;
+  std::size_t const inOneSlice = roster.size() / options_.slices + 1;
   return std::min(goal - std::min(goal, good), inOneSlice);
 }
 
@@ -32,9 +32,9 @@
   if (now < nextAt_) {
     return out;
   }
-  nextAt_ = now + policy_.sliceMs;
+  nextAt_ = now + options_.sliceMs;
   std::erase_if(askedAt_, [&](std::pair<std::string const, TimePoint> const& entry) {
-    return now - entry.second >= policy_.againMs;
+    return now - entry.second >= options_.againMs;
   });
   std::size_t const most = wanted(now, roster, needed, answered);
   for (std::size_t step = 0; step < roster.size() && out.size() < most; ++step) {
--- a/libs/distribution/src/state_feed.cpp
+++ b/libs/distribution/src/state_feed.cpp
@@ -15,26 +15,26 @@
 
 void StateFeed::replaced(TimePoint now, messages::State const& previous) {
   std::erase_if(followers_, [&](std::pair<std::string const, Position> const& entry) {
-    return now - entry.second.heardAt > policy_.followerMs;
+    return now - entry.second.lastReceivedAt > options_.followerMs;
   });
   if (!followers_.empty()) {
     rosters_.remember(previous);
   }
 }
 
-messages::Message StateFeed::answer(TimePoint now, messages::State const* newest, messages::Poll const& poll,
-                                    messages::News news) {
+messages::Message StateFeed::answer(TimePoint now, messages::State const* newest, messages::StateRequest const& poll,
+                                    messages::StateResponse response) {
   if (!poll.follows) {
-    return news;
+    return response;
   }
   Position asking;
   asking.address = poll.self.address;
   asking.has = {poll.self.epoch, poll.self.sequence};
   asking.parts = poll.parts;
-  asking.heardAt = now;
+  asking.lastReceivedAt = now;
   std::map<std::string, Position>::iterator const known = followers_.find(poll.self.node);
-  if (poll.self.node.empty() || (known == followers_.end() && followers_.size() >= policy_.mostFollowers)) {
-    return newest == nullptr ? news : next(now, *newest, asking, news).value_or(news);
+  if (poll.self.node.empty() || (known == followers_.end() && followers_.size() >= options_.maxFollowers)) {
+    return newest == nullptr ? response : next(now, *newest, asking, response).value_or(response);
   }
   if (known != followers_.end() && known->second.has <= asking.has) {
     asking.sentConfiguration = known->second.sentConfiguration;
@@ -42,16 +42,17 @@
   }
   Position& follower = followers_[poll.self.node];
   follower = std::move(asking);
-  return newest == nullptr ? news : next(now, *newest, follower, news).value_or(news);
+  return newest == nullptr ? response : next(now, *newest, follower, response).value_or(response);
 }
 
-std::vector<Outgoing> StateFeed::push(TimePoint now, messages::State const& newest, messages::News const& news) {
+std::vector<Outgoing> StateFeed::push(TimePoint now, messages::State const& newest,
+                                      messages::StateResponse const& response) {
   std::vector<Outgoing> out;
   for (std::pair<std::string const, Position>& entry : followers_) {
-    if (now - entry.second.heardAt > policy_.followerMs) {
+    if (now - entry.second.lastReceivedAt > options_.followerMs) {
       continue;
     }
-    if (std::optional<messages::Message> message = next(now, newest, entry.second, news)) {
+    if (std::optional<messages::Message> message = next(now, newest, entry.second, response)) {
       out.push_back({entry.second.address, *std::move(message)});
     }
   }
@@ -69,30 +70,30 @@
       digest.add(version.epoch);
       digest.add(version.sequence);
     }
-    digest.add(follower.heardAt);
+    digest.add(follower.lastReceivedAt);
     digest.add(follower.underWayUntil);
   }
 }
 
 void StateFeed::documentSent(TimePoint now, messages::State const& newest, Position& follower) {
-  Ms const transfer(static_cast<long>(newest.document.size() / policy_.bytesPerMs));
+  Ms const transfer(static_cast<long>(newest.document.size() / options_.bytesPerMs));
   linkBusyUntil_ = std::max(linkBusyUntil_, now) + transfer;
   follower.sentConfiguration = configurationVersionOf(newest);
-  follower.underWayUntil = linkBusyUntil_ + policy_.resendMs;
+  follower.underWayUntil = linkBusyUntil_ + options_.resendMs;
 }
 
 std::optional<messages::Message> StateFeed::next(TimePoint now, messages::State const& newest, Position& follower,
-                                                 messages::News const& news) {
+                                                 messages::StateResponse const& response) {
   if (follower.has >= newest.version()) {
     return std::nullopt;
   }
   if (!follower.parts) {
-    messages::News whole = news;
+    messages::StateResponse whole = response;
     whole.state = newest;
     whole.state->receipts.clear();
     return whole;
   }
-  messages::StateUpdate update = updateFor(newest, *follower.parts, rosters_, news);
+  messages::StateUpdate update = updateFor(newest, *follower.parts, rosters_, response);
   bool const underWay = follower.sentConfiguration == configurationVersionOf(newest) && now < follower.underWayUntil;
   if (update.document && underWay) {
     return std::nullopt;
--- a/libs/distribution/src/state_update.cpp
+++ b/libs/distribution/src/state_update.cpp
@@ -7,8 +7,8 @@
 namespace limeramp::distribution {
 namespace {
 
-constexpr std::size_t mostRosters = 8;
-constexpr std::size_t mostRosterEntries = 4000;
+constexpr std::size_t maxRosters = 8;
+constexpr std::size_t maxRosterEntries = 4000;
 
 messages::StateVersion rosterVersionOf(messages::PartVersions const& parts) {
   return {parts.rosterEpoch, parts.rosterSequence};
@@ -82,7 +82,7 @@
   for (Entry const& entry : entries_) {
     kept += entry.roster.size();
   }
-  while (entries_.size() > 2 && (entries_.size() > mostRosters || kept > mostRosterEntries)) {
+  while (entries_.size() > 2 && (entries_.size() > maxRosters || kept > maxRosterEntries)) {
     kept -= entries_.front().roster.size();
     entries_.pop_front();
   }
@@ -102,11 +102,11 @@
 }
 
 messages::StateUpdate updateFor(messages::State const& state, messages::PartVersions const& parts,
-                                RosterHistory const& history, messages::News news) {
+                                RosterHistory const& history, messages::StateResponse response) {
   messages::StateUpdate update;
-  update.news = std::move(news);
-  update.news.epoch = state.epoch;
-  update.news.sequence = state.sequence;
+  update.response = std::move(response);
+  update.response.epoch = state.epoch;
+  update.response.sequence = state.sequence;
   update.revision = state.revision;
   update.evacuatedZones = state.evacuatedZones;
   update.parts = partVersionsOf(state);
@@ -139,8 +139,8 @@
     return std::nullopt;
   }
   messages::State next;
-  next.epoch = update.news.epoch;
-  next.sequence = update.news.sequence;
+  next.epoch = update.response.epoch;
+  next.sequence = update.response.sequence;
   next.configurationEpoch = update.parts.configurationEpoch;
   next.configurationSequence = update.parts.configurationSequence;
   next.document = update.document ? *update.document : current ? current->document : "";
--- a/libs/gateway/include/limeramp/gateway/gateway_server.h
+++ b/libs/gateway/include/limeramp/gateway/gateway_server.h
@@ -2,7 +2,7 @@
 
 #include "limeramp/config/settings.h"
 #include "limeramp/config/settings_file.h"
-#include "limeramp/control/dialect.h"
+#include "limeramp/control/operator_protocol_adapter.h"
 #include "limeramp/gateway/dialect.h"
 
 #include <memory>
@@ -18,7 +18,8 @@
   /// Takes the addresses that the settings name and begins.
   /// @return nothing, with the reason in `error`, if an address cannot be taken
   static std::unique_ptr<GatewayServer> start(config::Settings const& settings, std::string& error,
-                                              Dialect dialect = ownDialect(), control::OperatorDialect operators = {});
+                                              Dialect dialect = ownDialect(),
+                                              control::OperatorProtocolAdapter operators = {});
   ~GatewayServer();
   GatewayServer(GatewayServer const&) = delete;
   GatewayServer& operator=(GatewayServer const&) = delete;
--- a/libs/gateway/src/configuration_in_force.cpp
+++ b/libs/gateway/src/configuration_in_force.cpp
@@ -9,12 +9,12 @@
 namespace limeramp::gateway {
 namespace {
 
-constexpr std::uint64_t leastBudgetSlots = 20;
+constexpr std::uint64_t minBudgetSlots = 20;
 constexpr std::size_t leavingFronts = 1'000'000;
 constexpr double slackShare = 0.9;
 constexpr double connectionShare = 0.85;
-constexpr std::size_t leastConnections = 2;
-constexpr std::size_t mostAllowances = 20'000;
+constexpr std::size_t minConnections = 2;
+constexpr std::size_t maxAllowances = 20'000;
 constexpr Ms scarceIdleMs{200};
 
 }  // namespace
@@ -69,7 +69,7 @@
   own.zone = settings.zone;
   own.budgetRatio = settings.extraRatio;
   own.fronts = std::max<std::size_t>(1, state.roster.size());
-  std::uint64_t const slots = std::max<std::uint64_t>(leastBudgetSlots, (state.roster.size() * 5 / 4 + 9) / 10 * 10);
+  std::uint64_t const slots = std::max<std::uint64_t>(minBudgetSlots, (state.roster.size() * 5 / 4 + 9) / 10 * 10);
   std::size_t index = 0;
   for (messages::RosterEntry const& entry : state.roster) {
     if (entry.node == settings.node && entry.address == settings.advertise) {
@@ -104,11 +104,11 @@
   }
   double const share = static_cast<double>(allowed) * connectionShare /
                        static_cast<double>(std::max<std::size_t>(1, delivery.state()->roster.size()));
-  net::Allowance const allowance{std::max<std::size_t>(leastConnections, static_cast<std::size_t>(share)),
-                                 share < leastConnections ? scarceIdleMs : net::Allowance{}.idleMs};
+  net::Allowance const allowance{std::max<std::size_t>(minConnections, static_cast<std::size_t>(share)),
+                                 share < minConnections ? scarceIdleMs : net::Allowance{}.idleMs};
   net::Allowance& known = allowances[address];
   if (known.most != allowance.most || known.idleMs != allowance.idleMs) {
-    if (allowances.size() > mostAllowances) {
+    if (allowances.size() > maxAllowances) {
       allowances.clear();
     }
     allowances[address] = allowance;
--- a/libs/gateway/src/dialect.cpp
+++ b/libs/gateway/src/dialect.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view lifeHeader = "limeramp-life";
 constexpr std::string_view verdictHeader = "limeramp-verdict";
 constexpr std::string_view answersHeader = "limeramp-answers";
-constexpr long mostDeadlineMs = 60'000;
+constexpr long maxDeadlineMs = 60'000;
 
 std::string json(std::string const& text) { return picojson::value(text).serialize(); }
 
@@ -46,7 +46,7 @@
     long asked = 0;
     char const* const last = text->data() + text->size();
     std::from_chars_result const read = std::from_chars(text->data(), last, asked);
-    if (read.ec != std::errc() || read.ptr != last || asked <= 0 || asked > mostDeadlineMs) {
+    if (read.ec != std::errc() || read.ptr != last || asked <= 0 || asked > maxDeadlineMs) {
       return Refusal{Unserved::malformed,
                      "limeramp-deadline-ms must be a whole number from 1 to 60000",
                      Verdict::notRun,
--- a/libs/gateway/src/event_loop.cpp
+++ b/libs/gateway/src/event_loop.cpp
@@ -66,7 +66,7 @@
   peerLink.sendAll(fleet, views.tick(now, !delivery.state() && now - startedAt < eagerMs));
   apply(delivery.tick(now, peers));
   apply(directory.tick(now, surroundings()));
-  runner.tick(now, delivery.primaryAddress());
+  forwarder.tick(now, delivery.primaryAddress());
   refreshReadiness(now);
   apply(settingsFollower.tick(now));
 }
@@ -112,7 +112,7 @@
   }
 }
 
-void GatewayServer::Impl::on(DrainAsked&) {
+void GatewayServer::Impl::on(DrainRequested&) {
   draining = true;
   listeners.drain();
   delivery.leave();
@@ -137,7 +137,7 @@
   drainTimes = {settings.graceMs, settings.noticeMs};
 }
 
-void GatewayServer::Impl::on(EndAsked&) {
+void GatewayServer::Impl::on(EndRequested&) {
   std::unordered_map<std::uint64_t, net::Responder> const waiting = std::move(responders);
   responders.clear();
   for (std::pair<std::uint64_t const, net::Responder> const& entry : waiting) {
--- a/libs/gateway/src/forwarding.cpp
+++ b/libs/gateway/src/forwarding.cpp
@@ -9,8 +9,8 @@
 namespace limeramp::gateway {
 namespace {
 
-constexpr std::size_t mostCallerBytes = 1 << 20;
-constexpr std::uint64_t mostForwardedMs = 60'000;
+constexpr std::size_t maxCallerBytes = 1 << 20;
+constexpr std::uint64_t maxForwardedMs = 60'000;
 constexpr Ms staleRetryMs{1'000};
 constexpr char const* forwardPath = "/limeramp/carry";
 constexpr char const* avroType = "avro/binary";
@@ -42,7 +42,7 @@
   return {"POST",
           forwardPath,
           {{"content-type", avroType}, {"limeramp-from", from}},
-          messages::enclose(messages::pack(forward)),
+          messages::withChecksum(messages::pack(forward)),
           ""};
 }
 
@@ -52,7 +52,7 @@
     return exchange;
   }
   absl::StatusOr<messages::ForwardReply> const reply =
-      messages::unpack<messages::ForwardReply>(messages::disclose(exchange.answer->body).value_or(""));
+      messages::unpack<messages::ForwardReply>(messages::verifyChecksum(exchange.answer->body).value_or(""));
   if (exchange.answer->status == 200 && reply.ok() && reply->status >= 200 && reply->status <= 599) {
     exchange.answer = net::Answer{static_cast<int>(reply->status), fromLines(reply->headers), reply->body};
   } else {
@@ -66,15 +66,16 @@
 
 void GatewayServer::Impl::admit(net::Request content, net::Responder respond, bool passed,
                                 std::optional<Ms> remainingMs) {
-  distribution::Standing const standing = delivery.status(Clock::now()).standing;
-  if (standing != distribution::Standing::current && standing != distribution::Standing::upheld) {
+  distribution::ConfigFreshness const freshness = delivery.status(Clock::now()).freshness;
+  if (freshness != distribution::ConfigFreshness::confirmedByPrimary &&
+      freshness != distribution::ConfigFreshness::confirmedByMajority) {
     ++refusedStale;
-    respond(dialect.writeRefusal({Unserved::stale, "this node's configuration is " + nameOf(standing),
+    respond(dialect.writeRefusal({Unserved::stale, "this node's configuration is " + nameOf(freshness),
                                   retry::Verdict::notRun, staleRetryMs, "", ""}));
     return;
   }
   if (content.body.size() >
-      (plane.snapshot() == nullptr ? mostCallerBytes : plane.snapshot()->configuration.limits.maxBodyBytes)) {
+      (plane.snapshot() == nullptr ? maxCallerBytes : plane.snapshot()->configuration.limits.maxBodyBytes)) {
     respond(dialect.writeRefusal(
         {Unserved::tooLong, "the body is longer than the limit", retry::Verdict::notRun, {}, "", ""}));
     return;
@@ -87,7 +88,7 @@
 
 void GatewayServer::Impl::takeForwarded(Incoming& inbound) {
   absl::StatusOr<messages::ForwardRequest> const received =
-      messages::unpack<messages::ForwardRequest>(messages::disclose(inbound.content.body).value_or(""));
+      messages::unpack<messages::ForwardRequest>(messages::verifyChecksum(inbound.content.body).value_or(""));
   if (!received.ok()) {
     inbound.respond(control::plain(400, "{\"reason\":\"not a carried request\"}"));
     return;
@@ -99,9 +100,9 @@
       [respond = std::move(inbound.respond)](net::Answer const& answer) {
         messages::ForwardReply const back{static_cast<std::uint64_t>(answer.status), toLines(answer.headers),
                                           answer.body};
-        respond({200, {{"content-type", avroType}}, messages::enclose(messages::pack(back))});
+        respond({200, {{"content-type", avroType}}, messages::withChecksum(messages::pack(back))});
       },
-      true, Ms(static_cast<long>(std::min<std::uint64_t>(received->remainingMs, mostForwardedMs))));
+      true, Ms(static_cast<long>(std::min<std::uint64_t>(received->remainingMs, maxForwardedMs))));
 }
 
 void GatewayServer::Impl::step(Event const& event) {
