--- a/libs/gateway/src/gateway_server.cpp
+++ b/libs/gateway/src/gateway_server.cpp
@@ -8,9 +8,9 @@
 namespace limeramp::gateway {
 namespace {
 
-constexpr std::size_t mostInboundMessages = 16'384;
-constexpr std::size_t mostRequestBytes = 4 << 20;
-constexpr std::size_t mostReadinessBytes = 64 << 10;
+constexpr std::size_t maxInboundMessages = 16'384;
+constexpr std::size_t maxRequestBytes = 4 << 20;
+constexpr std::size_t maxReadinessBytes = 64 << 10;
 constexpr std::uint64_t relayAttempts = 1ULL << 61;
 constexpr Ms connectMs{300};
 constexpr Ms overloadPauseMs{1'000};
@@ -52,7 +52,8 @@
 
 }  // namespace
 
-GatewayServer::Impl::Impl(config::Settings const& settingsIn, Dialect dialectIn, control::OperatorDialect operatorsIn)
+GatewayServer::Impl::Impl(config::Settings const& settingsIn, Dialect dialectIn,
+                          control::OperatorProtocolAdapter operatorsIn)
     : settings(settingsIn),
       settingsFollower(settingsIn),
       dialect(std::move(dialectIn)),
@@ -67,7 +68,8 @@
       delivery({}, messages::Follower{settingsIn.node, settingsIn.advertise, settingsIn.zone, 0, 0}, boot,
                net::randomWord()),
       directory(directoryPolicyOf(settingsIn), settingsIn.node, settingsIn.advertise, settingsIn.zone),
-      runner(client, settingsIn.advertise, relayAttempts, [this](control::RunBack back) { post(std::move(back)); }),
+      forwarder(client, settingsIn.advertise, relayAttempts,
+                [this](control::ForwardFinished back) { post(std::move(back)); }),
       listeners(network),
       drainTimes{settingsIn.graceMs, settingsIn.noticeMs} {}
 
@@ -84,7 +86,7 @@
 bool GatewayServer::Impl::listen(std::string& error) {
   using Audience = node::Listeners::Audience;
   net::HttpServer::Handler const takePeer = [this](net::Request request, net::Responder respond) {
-    if (inboundMessages.size() >= mostInboundMessages) {
+    if (inboundMessages.size() >= maxInboundMessages) {
       respond(
           dialect.writeRefusal({Unserved::overloaded, "overloaded", retry::Verdict::notRun, overloadPauseMs, "", ""}));
       return;
@@ -97,32 +99,32 @@
   net::HttpServer::Handler const takeOperator = [this, takePeer](net::Request request, net::Responder respond) {
     control::serveOperator(operators, std::move(request), std::move(respond), takePeer);
   };
-  net::ServerOptions const general = listenerOptions(mostRequestBytes);
+  net::ServerOptions const general = listenerOptions(maxRequestBytes);
   net::ServerOptions callers = general;
   callers.opensLater = true;
   return listeners.listen(Audience::callers, settings.callerListens, callers, takeCaller, error) &&
          listeners.listen(Audience::peers, {settings.listen}, general, takePeer, error) &&
-         listeners.listen(Audience::readiness, settings.readinessListens, listenerOptions(mostReadinessBytes),
+         listeners.listen(Audience::readiness, settings.readinessListens, listenerOptions(maxReadinessBytes),
                           takeOperator, error) &&
          listeners.listen(Audience::operators, settings.operatorListens, general, takeOperator, error);
 }
 
 void GatewayServer::Impl::drainAndWait() {
   Clock::time_point const begunAt = Clock::now();
-  post(DrainAsked{});
+  post(DrainRequested{});
   std::unique_lock<std::mutex> lock(heldMutex);
   Ms const graceMs = std::max(drainTimes.graceMs, lastAnswersMs * 4);
   heldChanged.wait_until(lock, begunAt + std::min(graceMs / 2, drainTimes.noticeMs), [] { return false; });
   listeners.stopAccepting();
   heldChanged.wait_until(lock, begunAt + graceMs - lastAnswersMs * 2, [this] { return held == 0; });
-  post(EndAsked{});
+  post(EndRequested{});
   heldChanged.wait_for(lock, lastAnswersMs, [] { return false; });
 }
 
 GatewayServer::GatewayServer() = default;
 
 std::unique_ptr<GatewayServer> GatewayServer::start(config::Settings const& settings, std::string& error,
-                                                    Dialect dialect, control::OperatorDialect operators) {
+                                                    Dialect dialect, control::OperatorProtocolAdapter operators) {
   std::unique_ptr<GatewayServer> gateway(new GatewayServer());
   gateway->impl_ = std::make_unique<Impl>(settings, std::move(dialect), std::move(operators));
   Impl& impl = *gateway->impl_;
@@ -141,7 +143,7 @@
 
 void GatewayServer::follow(config::SettingsFile file) { impl_->post(FollowSettings{std::move(file)}); }
 
-void GatewayServer::reload() { impl_->post(ReloadAsked{}); }
+void GatewayServer::reload() { impl_->post(ReloadRequested{}); }
 
 void GatewayServer::drain() { impl_->drainAndWait(); }
 
--- a/libs/gateway/src/gateway_server_impl.h
+++ b/libs/gateway/src/gateway_server_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "limeramp/control/runner.h"
+#include "limeramp/control/order_forwarder.h"
 #include "limeramp/discovery/server_directory.h"
 #include "limeramp/distribution/config_delivery.h"
 #include "limeramp/gateway/gateway_server.h"
@@ -38,10 +38,10 @@
 };
 
 /// Asks the node to take nothing new and to finish what it holds.
-struct DrainAsked {};
+struct DrainRequested {};
 
 /// Asks the node to refuse what it still holds, since the process ends.
-struct EndAsked {};
+struct EndRequested {};
 
 /// Names the settings file to follow from now on.
 struct FollowSettings {
@@ -49,19 +49,19 @@
 };
 
 /// Asks for the settings file to be read at once.
-struct ReloadAsked {};
+struct ReloadRequested {};
 
-using InboundMessage =
-    std::variant<Incoming, ListRead, control::RunBack, DrainAsked, EndAsked, FollowSettings, ReloadAsked, Event>;
+using InboundMessage = std::variant<Incoming, ListRead, control::ForwardFinished, DrainRequested, EndRequested,
+                                    FollowSettings, ReloadRequested, Event>;
 
-std::string nameOf(distribution::Standing standing);
+std::string nameOf(distribution::ConfigFreshness freshness);
 
 /// All of a gateway. Its members belong to the network's thread, but for what `heldMutex` guards.
 ///
 /// The functions stand by job in event_loop.cpp, forwarding.cpp, operator_calls.cpp, peer_messages.cpp,
 /// configuration_in_force.cpp, list_reader.cpp and status_pages.cpp.
 struct GatewayServer::Impl {
-  Impl(config::Settings const& settingsIn, Dialect dialectIn, control::OperatorDialect operatorsIn);
+  Impl(config::Settings const& settingsIn, Dialect dialectIn, control::OperatorProtocolAdapter operatorsIn);
 
   // Start and end: gateway_server.cpp.
   bool listen(std::string& error);
@@ -78,11 +78,11 @@
   void refreshReadiness(Clock::time_point now);
   void on(Incoming& inbound);
   void on(ListRead& inbound);
-  void on(control::RunBack& inbound) { runner.hear(Clock::now(), inbound); }
-  void on(DrainAsked& inbound);
-  void on(EndAsked& inbound);
+  void on(control::ForwardFinished& inbound) { forwarder.onFinished(Clock::now(), inbound); }
+  void on(DrainRequested& inbound);
+  void on(EndRequested& inbound);
   void on(FollowSettings& inbound) { settingsFollower.follow(std::move(inbound.file)); }
-  void on(ReloadAsked&) { apply(settingsFollower.reload(Clock::now())); }
+  void on(ReloadRequested&) { apply(settingsFollower.reload(Clock::now())); }
   void on(Event& event) { step(event); }
   void apply(std::optional<config::SettingsUpdate> const& update);
 
@@ -131,7 +131,7 @@
   config::Settings settings;
   node::SettingsFollower settingsFollower;
   Dialect dialect;
-  control::OperatorDialect operators;
+  control::OperatorProtocolAdapter operators;
   net::Network network;
   net::HttpClient client;
   node::PeerLink peerLink;
@@ -146,7 +146,7 @@
   distribution::PeerViews views;
   distribution::ConfigDelivery delivery;
   discovery::Desk directory;
-  control::Runner runner;
+  control::OrderForwarder forwarder;
   query::Clerk queries;
   node::Listeners listeners;
   net::Network::TimerId alarm = 0;
--- a/libs/gateway/src/operator_calls.cpp
+++ b/libs/gateway/src/operator_calls.cpp
@@ -31,7 +31,7 @@
   } else if (target == "/limeramp/query" && method == "POST") {
     runQuery(inbound);
   } else if (target == "/limeramp/drain" && method == "POST") {
-    DrainAsked asked;
+    DrainRequested asked;
     on(asked);
     inbound.respond(control::plain(200, "{\"draining\":true}"));
   } else {
@@ -40,7 +40,7 @@
 }
 
 void GatewayServer::Impl::relayCall(Incoming& inbound) {
-  runner.take(Clock::now(), inbound.arrivedAt, std::move(inbound.content), std::move(inbound.respond));
+  forwarder.take(Clock::now(), inbound.arrivedAt, std::move(inbound.content), std::move(inbound.respond));
 }
 
 void GatewayServer::Impl::runQuery(Incoming& inbound) {
--- a/libs/gateway/src/peer_messages.cpp
+++ b/libs/gateway/src/peer_messages.cpp
@@ -10,23 +10,25 @@
   }
   Clock::time_point const now = Clock::now();
   if (messages::Shuffle const* const shuffle = std::get_if<messages::Shuffle>(&received->message)) {
-    peerLink.sendAll(fleet, views.hear(now, received->from, received->address, *shuffle));
-  } else if (messages::Poll const* const poll = std::get_if<messages::Poll>(&received->message)) {
-    apply(delivery.hear(now, received->address, *poll));
-  } else if (messages::News const* const news = std::get_if<messages::News>(&received->message)) {
-    if (fleet.empty() && news->state) {
+    peerLink.sendAll(fleet, views.onMessage(now, received->from, received->address, *shuffle));
+  } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received->message)) {
+    apply(delivery.onMessage(now, received->address, *poll));
+  } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&received->message)) {
+    if (fleet.empty() && response->state) {
       fleet = received->fleet;
     }
-    apply(delivery.hear(now, received->address, *news));
+    apply(delivery.onMessage(now, received->address, *response));
   } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&received->message)) {
     if (fleet.empty()) {
       fleet = received->fleet;
     }
-    apply(delivery.hear(now, received->address, *update));
-  } else if (messages::TablePoll const* const tablePoll = std::get_if<messages::TablePoll>(&received->message)) {
-    apply(directory.hear(now, received->address, *tablePoll));
-  } else if (messages::TableNews const* const tableNews = std::get_if<messages::TableNews>(&received->message)) {
-    apply(directory.hear(now, received->address, *tableNews));
+    apply(delivery.onMessage(now, received->address, *update));
+  } else if (messages::TableRequest const* const tableRequest =
+                 std::get_if<messages::TableRequest>(&received->message)) {
+    apply(directory.onMessage(now, received->address, *tableRequest));
+  } else if (messages::TableResponse const* const tableResponse =
+                 std::get_if<messages::TableResponse>(&received->message)) {
+    apply(directory.onMessage(now, received->address, *tableResponse));
   }
 }
 
--- a/libs/gateway/src/request_plane.cpp
+++ b/libs/gateway/src/request_plane.cpp
@@ -66,7 +66,7 @@
   void reply(std::uint64_t request, net::Answer answer);
   void refuse(std::uint64_t request, Refusal const& refusal);
   void keepAnswer(Exchanged const& event, dispatch::Returned const& returned);
-  void hear(std::uint64_t attempt, dispatch::Returned const& returned, dispatch::Part part);
+  void onMessage(std::uint64_t attempt, dispatch::Returned const& returned, dispatch::Part part);
   Asked askedOf(Open const& entry, std::size_t leg) const;
 };
 
@@ -304,7 +304,7 @@
     }
     keepAnswer(event, heard.returned);
   } else if (heard.part) {
-    hear(event.attempt, heard.returned, std::move(*heard.part));
+    onMessage(event.attempt, heard.returned, std::move(*heard.part));
   } else if (!heard.returned.good) {
     if (!heard.reason.empty()) {
       effects.emplace_back(dispatch::Note{logging::Event::partRefused, asked.service, heard.reason});
@@ -328,7 +328,7 @@
   answers.erase(event.attempt);
 }
 
-void Plane::Impl::hear(std::uint64_t attempt, dispatch::Returned const& returned, dispatch::Part part) {
+void Plane::Impl::onMessage(std::uint64_t attempt, dispatch::Returned const& returned, dispatch::Part part) {
   ground.emplace(attempt, std::make_shared<dispatch::Part const>(std::move(part)));
   drive(returned);
   ground.erase(attempt);
@@ -345,7 +345,7 @@
   returned.load = event.load;
   returned.good = returned.healthy = event.part.ok();
   if (event.part.ok()) {
-    hear(event.attempt, returned, *event.part);
+    onMessage(event.attempt, returned, *event.part);
   } else {
     Outgoing const place = found->second;
     effects.emplace_back(dispatch::Note{logging::Event::partRefused, open.at(place.request).services[place.leg],
--- a/libs/gateway/src/status_pages.cpp
+++ b/libs/gateway/src/status_pages.cpp
@@ -97,17 +97,17 @@
 
 }  // namespace
 
-std::string nameOf(distribution::Standing standing) {
-  switch (standing) {
-    case distribution::Standing::unknown:
+std::string nameOf(distribution::ConfigFreshness freshness) {
+  switch (freshness) {
+    case distribution::ConfigFreshness::noConfiguration:
       return "unknown";
-    case distribution::Standing::unlisted:
+    case distribution::ConfigFreshness::notMember:
       return "unlisted";
-    case distribution::Standing::stale:
+    case distribution::ConfigFreshness::stale:
       return "stale";
-    case distribution::Standing::current:
+    case distribution::ConfigFreshness::confirmedByPrimary:
       return "current";
-    case distribution::Standing::upheld:
+    case distribution::ConfigFreshness::confirmedByMajority:
       return "upheld";
   }
   return "unknown";
@@ -118,8 +118,9 @@
   if (draining) {
     return "draining";
   }
-  if (status.standing != distribution::Standing::current && status.standing != distribution::Standing::upheld) {
-    return "configuration " + nameOf(status.standing);
+  if (status.freshness != distribution::ConfigFreshness::confirmedByPrimary &&
+      status.freshness != distribution::ConfigFreshness::confirmedByMajority) {
+    return "configuration " + nameOf(status.freshness);
   }
   if (unreadable) {
     return "configuration unreadable";
@@ -146,9 +147,10 @@
 }
 
 net::Answer GatewayServer::Impl::currentConfiguration() const {
-  distribution::Standing const standing = delivery.status(Clock::now()).standing;
-  if (standing != distribution::Standing::current && standing != distribution::Standing::upheld) {
-    return control::plain(503, "{\"reason\":\"configuration " + nameOf(standing) + "\"}");
+  distribution::ConfigFreshness const freshness = delivery.status(Clock::now()).freshness;
+  if (freshness != distribution::ConfigFreshness::confirmedByPrimary &&
+      freshness != distribution::ConfigFreshness::confirmedByMajority) {
+    return control::plain(503, "{\"reason\":\"configuration " + nameOf(freshness) + "\"}");
   }
   config::SnapshotPtr const snapshot = plane.snapshot();
   net::Answer answer = control::plain(200, snapshot == nullptr ? "{}" : snapshot->text);
@@ -164,7 +166,7 @@
   std::string body =
       "{\"node\":" + json(settings.node) + ",\"role\":\"gateway\",\"zone\":" + json(settings.zone) +
       ",\"fleet\":" + json(fleet) + ",\"ready\":" + (why.empty() ? "true" : "false") + ",\"reason\":" + json(why) +
-      ",\"standing\":" + json(nameOf(status.standing)) +
+      ",\"standing\":" + json(nameOf(status.freshness)) +
       ",\"age_ms\":" + (status.ageMs == Ms::max() ? "null" : std::to_string(status.ageMs.count())) +
       ",\"state\":" + json(config::Version{state.epoch, state.sequence}.text()) +
       ",\"versions_behind\":" + std::to_string(status.versionsBehind) +
--- a/libs/logging/include/limeramp/logging/logging.h
+++ b/libs/logging/include/limeramp/logging/logging.h
@@ -43,9 +43,9 @@
   newGroupForced = 507,
   diskFailed = 510,
   diskDamaged = 511,
-  diskTailCut = 512,
+  diskTailTruncated = 512,
   messageDropped = 600,
-  peerStrange = 601,
+  peerUnexpected = 601,
   rosterChanged = 602,
 };
 
--- a/libs/logging/src/logging.cpp
+++ b/libs/logging/src/logging.cpp
@@ -59,10 +59,10 @@
      "an operator began a new control group from what a node still held"},
     {Event::diskFailed, Level::error, "disk_failed", "a write or sync failed or took too long; the replica steps down"},
     {Event::diskDamaged, Level::error, "disk_damaged", "stored records are damaged and will not be served"},
-    {Event::diskTailCut, Level::warning, "disk_tail_cut", "an unfinished last record was cut at start"},
+    {Event::diskTailTruncated, Level::warning, "disk_tail_cut", "an unfinished last record was cut at start"},
     {Event::messageDropped, Level::debug, "message_dropped",
      "a message to a peer was dropped because its queue was full or the peer is gone"},
-    {Event::peerStrange, Level::warning, "peer_strange",
+    {Event::peerUnexpected, Level::warning, "peer_strange",
      "a message of another fleet, of an unknown kind or version was left out"},
     {Event::rosterChanged, Level::info, "roster_changed", "the set of nodes that share the fleet's duties changed"},
 }};
--- a/libs/messages/include/limeramp/messages/codec.h
+++ b/libs/messages/include/limeramp/messages/codec.h
@@ -12,8 +12,8 @@
 
 namespace limeramp::messages {
 
-std::string enclose(std::string const& bytes);
-std::optional<std::string_view> disclose(std::string_view bytes);
+std::string withChecksum(std::string const& bytes);
+std::optional<std::string_view> verifyChecksum(std::string_view bytes);
 
 class Writer {
  public:
@@ -55,7 +55,7 @@
   void get(bool& value);
   void get(double& value);
   void get(std::string& value);
-  void spoil();
+  void invalidate();
 
  private:
   struct Impl;
--- a/libs/messages/include/limeramp/messages/messages.h
+++ b/libs/messages/include/limeramp/messages/messages.h
@@ -94,12 +94,12 @@
   }
 };
 
-struct Promise {
+struct PrepareResponse {
   static constexpr char const* name = "Promise";
   std::uint64_t nextEpoch = 0;
   Ballot ballot;
   bool granted = false;
-  Ballot promised;
+  Ballot promisedBallot;
   Ballot acceptedBallot;
   std::optional<EpochRecord> accepted;
   template <typename V, typename T>
@@ -107,7 +107,7 @@
     visit("slot", self.nextEpoch);
     visit("ballot", self.ballot);
     visit("granted", self.granted);
-    visit("promised", self.promised);
+    visit("promised", self.promisedBallot);
     visit("acceptedBallot", self.acceptedBallot);
     visit("accepted", self.accepted);
   }
@@ -126,18 +126,18 @@
   }
 };
 
-struct Accepted {
+struct AcceptResponse {
   static constexpr char const* name = "Accepted";
   std::uint64_t nextEpoch = 0;
   Ballot ballot;
   bool granted = false;
-  Ballot promised;
+  Ballot promisedBallot;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
     visit("slot", self.nextEpoch);
     visit("ballot", self.ballot);
     visit("granted", self.granted);
-    visit("promised", self.promised);
+    visit("promised", self.promisedBallot);
   }
 };
 
@@ -146,7 +146,7 @@
   EpochRecord decided;
   std::uint64_t token = 0;
   std::uint64_t echoed = 0;
-  bool ailing = false;
+  bool unhealthy = false;
   std::uint64_t epoch = 0;
   /// The highest epoch whose record the sender has synced to its disk; 0 from versions that do not say it.
   std::uint64_t storedEpoch = 0;
@@ -155,7 +155,7 @@
     visit("decided", self.decided);
     visit("token", self.token);
     visit("echoed", self.echoed);
-    visit("ailing", self.ailing);
+    visit("ailing", self.unhealthy);
     visit("epoch", self.epoch);
     visit("storedEpoch", self.storedEpoch);
   }
@@ -331,7 +331,7 @@
 };
 
 /// A node asks for the newest state and says which it has.
-struct Poll {
+struct StateRequest {
   static constexpr char const* name = "Poll";
   std::uint64_t token = 0;
   Follower self;
@@ -357,11 +357,11 @@
   }
 };
 
-struct News {
+struct StateResponse {
   static constexpr char const* name = "News";
   std::uint64_t token = 0;
   std::string node;
-  bool settled = false;
+  bool caughtUp = false;
   bool hasAge = false;
   std::uint64_t ageMs = 0;
   std::uint64_t epoch = 0;
@@ -376,7 +376,7 @@
   static void describe(V& visit, T& self) {
     visit("token", self.token);
     visit("node", self.node);
-    visit("settled", self.settled);
+    visit("settled", self.caughtUp);
     visit("hasAge", self.hasAge);
     visit("ageMs", self.ageMs);
     visit("epoch", self.epoch);
@@ -404,7 +404,7 @@
 /// Brings a follower to the state that `news` names: the parts it lacks, and nothing that only replicas need.
 struct StateUpdate {
   static constexpr char const* name = "StateUpdate";
-  News news;
+  StateResponse response;
   std::uint64_t revision = 0;
   std::vector<std::string> evacuatedZones;
   /// The versions of the parts of the new state.
@@ -419,7 +419,7 @@
   RosterDifference priorRoster;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
-    visit("news", self.news);
+    visit("news", self.response);
     visit("revision", self.revision);
     visit("evacuatedZones", self.evacuatedZones);
     visit("parts", self.parts);
@@ -469,7 +469,7 @@
   }
 };
 
-struct TablePoll {
+struct TableRequest {
   static constexpr char const* name = "TablePoll";
   std::string node;
   std::string address;
@@ -482,7 +482,7 @@
   }
 };
 
-struct TableNews {
+struct TableResponse {
   static constexpr char const* name = "TableNews";
   std::string node;
   std::vector<Table> tables;
@@ -534,8 +534,8 @@
   }
 };
 
-using Message = std::variant<Shuffle, Prepare, Promise, Accept, Accepted, Heartbeat, Sync, Synced, Poll, News,
-                             TablePoll, TableNews, StateUpdate>;
+using Message = std::variant<Shuffle, Prepare, PrepareResponse, Accept, AcceptResponse, Heartbeat, Sync, Synced,
+                             StateRequest, StateResponse, TableRequest, TableResponse, StateUpdate>;
 
 struct Envelope {
   static constexpr char const* name = "Envelope";
@@ -565,7 +565,7 @@
   Message message;
 };
 
-std::string seal(PeerMessage const& received);
-absl::StatusOr<PeerMessage> unseal(std::string_view bytes);
+std::string encodeEnvelope(PeerMessage const& received);
+absl::StatusOr<PeerMessage> decodeEnvelope(std::string_view bytes);
 
 }  // namespace limeramp::messages
--- a/libs/messages/src/codec.cpp
+++ b/libs/messages/src/codec.cpp
@@ -25,14 +25,14 @@
   avro_value_iface_t* face = nullptr;
 };
 
-constexpr std::size_t mostItems = 100'000;
-constexpr std::size_t mostSchemaBytes = 16'384;
-constexpr std::size_t mostSchemaParts = 2'000;
-constexpr std::size_t mostSchemaDepth = 16;
-constexpr std::size_t mostKinds = 256;
+constexpr std::size_t maxItems = 100'000;
+constexpr std::size_t maxSchemaBytes = 16'384;
+constexpr std::size_t maxSchemaParts = 2'000;
+constexpr std::size_t maxSchemaDepth = 16;
+constexpr std::size_t maxKinds = 256;
 
 bool isBounded(avro_schema_t schema, std::size_t depth, std::size_t& parts) {
-  if (depth > mostSchemaDepth || ++parts > mostSchemaParts) {
+  if (depth > maxSchemaDepth || ++parts > maxSchemaParts) {
     return false;
   }
   switch (avro_typeof(schema)) {
@@ -104,7 +104,7 @@
           return true;
         }
         for (; number > 0; --number) {
-          if (++items > mostItems || !fits(avro_schema_array_items(schema), left, items)) {
+          if (++items > maxItems || !fits(avro_schema_array_items(schema), left, items)) {
             return false;
           }
         }
@@ -134,13 +134,13 @@
   if (found != kinds.end()) {
     return found->second;
   }
-  if (kinds.size() >= mostKinds) {
+  if (kinds.size() >= maxKinds) {
     kinds.clear();
   }
   Kind& kind = kinds[schema];
   std::size_t parts = 0;
   avro_schema_t read = nullptr;
-  if (schema.size() > mostSchemaBytes || avro_schema_from_json_length(schema.data(), schema.size(), &read) != 0) {
+  if (schema.size() > maxSchemaBytes || avro_schema_from_json_length(schema.data(), schema.size(), &read) != 0) {
     return kind;
   }
   kind.schema = read;
@@ -152,21 +152,21 @@
 
 }  // namespace
 
-std::string enclose(std::string const& bytes) {
-  std::uint64_t const mark = XXH64(bytes.data(), bytes.size(), 0);
-  std::string out(sizeof mark, '\0');
-  std::memcpy(out.data(), &mark, sizeof mark);
+std::string withChecksum(std::string const& bytes) {
+  std::uint64_t const separator = XXH64(bytes.data(), bytes.size(), 0);
+  std::string out(sizeof separator, '\0');
+  std::memcpy(out.data(), &separator, sizeof separator);
   return out + bytes;
 }
 
-std::optional<std::string_view> disclose(std::string_view bytes) {
-  std::uint64_t mark = 0;
-  if (bytes.size() < sizeof mark) {
+std::optional<std::string_view> verifyChecksum(std::string_view bytes) {
+  std::uint64_t separator = 0;
+  if (bytes.size() < sizeof separator) {
     return std::nullopt;
   }
-  std::memcpy(&mark, bytes.data(), sizeof mark);
-  bytes.remove_prefix(sizeof mark);
-  return mark == XXH64(bytes.data(), bytes.size(), 0) ? std::optional<std::string_view>(bytes) : std::nullopt;
+  std::memcpy(&separator, bytes.data(), sizeof separator);
+  bytes.remove_prefix(sizeof separator);
+  return separator == XXH64(bytes.data(), bytes.size(), 0) ? std::optional<std::string_view>(bytes) : std::nullopt;
 }
 
 struct Writer::Impl {
@@ -259,7 +259,7 @@
 }
 
 bool Source::good() const { return impl_->good; }
-void Source::spoil() { impl_->good = false; }
+void Source::invalidate() { impl_->good = false; }
 
 bool Source::has(char const* name) {
   impl_->good = impl_->good && avro_value_get_type(&impl_->path.back()) == AVRO_RECORD;
@@ -288,7 +288,7 @@
 
 std::size_t Source::count() {
   std::size_t size = 0;
-  if (!impl_->good || avro_value_get_size(&impl_->path.back(), &size) != 0 || size > mostItems) {
+  if (!impl_->good || avro_value_get_size(&impl_->path.back(), &size) != 0 || size > maxItems) {
     impl_->good = false;
     return 0;
   }
--- a/libs/messages/src/messages.cpp
+++ b/libs/messages/src/messages.cpp
@@ -11,9 +11,9 @@
 namespace limeramp::messages {
 namespace {
 
-constexpr std::uint64_t alwaysWhole = 32;
-constexpr std::uint64_t oneInWhole = 16;
-constexpr std::size_t mostSchemas = 256;
+constexpr std::uint64_t schemaAlwaysSentFirst = 32;
+constexpr std::uint64_t schemaSentOneIn = 16;
+constexpr std::size_t maxSchemas = 256;
 
 std::string digestOf(std::string const& schema) {
   std::array<char, 20> text{};
@@ -32,7 +32,7 @@
 bool carriesSchema() {
   static std::atomic<std::uint64_t> sent = 0;
   std::uint64_t const number = sent++;
-  return number < alwaysWhole || XXH64(&number, sizeof number, 0) % oneInWhole == 0;
+  return number < schemaAlwaysSentFirst || XXH64(&number, sizeof number, 0) % schemaSentOneIn == 0;
 }
 
 std::mutex schemasMutex;
@@ -40,7 +40,7 @@
 
 void remember(std::string const& schema) {
   std::unique_lock<std::mutex> const lock(schemasMutex);
-  if (schemas.size() < mostSchemas) {
+  if (schemas.size() < maxSchemas) {
     schemas.emplace(digestOf(schema), schema);
   }
 }
@@ -64,17 +64,17 @@
     return absl::UnimplementedError("unknown kind " + kind.substr(0, 40));
   } else {
     using Kind = std::variant_alternative_t<Index, Message>;
-    std::size_t const mark = kind.find('#');
-    if (kind.substr(0, mark) != Kind::name) {
+    std::size_t const separator = kind.find('#');
+    if (kind.substr(0, separator) != Kind::name) {
       return open<Index + 1>(kind, body, schema);
     }
-    if (mark != std::string::npos && kind.substr(mark + 1) != digestOfKind<Kind>()) {
-      std::optional<std::string> const known = recall(kind.substr(mark + 1));
+    if (separator != std::string::npos && kind.substr(separator + 1) != digestOfKind<Kind>()) {
+      std::optional<std::string> const known = recall(kind.substr(separator + 1));
       return known ? open<Index>(Kind::name, body, *known) : absl::UnavailableError("a schema not heard yet");
     }
-    absl::StatusOr<Kind> value = mark != std::string::npos ? unpack<Kind>(body)
-                                 : schema.empty()          ? unpackFirstKind<Kind>(body)
-                                                           : unpack<Kind>(body, schema);
+    absl::StatusOr<Kind> value = separator != std::string::npos ? unpack<Kind>(body)
+                                 : schema.empty()               ? unpackFirstKind<Kind>(body)
+                                                                : unpack<Kind>(body, schema);
     if (value.ok() && !schema.empty() && schema != schemaOf<Kind>()) {
       remember(schema);
     }
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-std::string seal(PeerMessage const& received) {
+std::string encodeEnvelope(PeerMessage const& received) {
   Envelope envelope;
   envelope.fleet = received.fleet;
   envelope.from = received.from;
@@ -95,23 +95,23 @@
   std::visit(
       [&](auto const& message) {
         using Kind = std::decay_t<decltype(message)>;
-        bool const whole = carriesSchema<Kind>();
-        envelope.kind = whole ? std::string(Kind::name) : std::string(Kind::name) + "#" + digestOfKind<Kind>();
+        bool const withSchema = carriesSchema<Kind>();
+        envelope.kind = withSchema ? std::string(Kind::name) : std::string(Kind::name) + "#" + digestOfKind<Kind>();
         envelope.body = pack(message);
-        envelope.schema = whole ? schemaOf<Kind>() : "";
+        envelope.schema = withSchema ? schemaOf<Kind>() : "";
       },
       received.message);
-  return enclose(pack(envelope));
+  return withChecksum(pack(envelope));
 }
 
-absl::StatusOr<PeerMessage> unseal(std::string_view bytes) {
-  std::optional<std::string_view> const whole = disclose(bytes);
-  if (!whole) {
+absl::StatusOr<PeerMessage> decodeEnvelope(std::string_view bytes) {
+  std::optional<std::string_view> const payload = verifyChecksum(bytes);
+  if (!payload) {
     return absl::DataLossError("spoilt on the way");
   }
-  absl::StatusOr<Envelope> envelope = unpack<Envelope>(*whole);
+  absl::StatusOr<Envelope> envelope = unpack<Envelope>(*payload);
   if (!envelope.ok()) {
-    envelope = unpackFirstKind<Envelope>(*whole);
+    envelope = unpackFirstKind<Envelope>(*payload);
   }
   if (!envelope.ok()) {
     return envelope.status();
--- a/libs/net/src/answer_reader.cpp
+++ b/libs/net/src/answer_reader.cpp
@@ -12,8 +12,8 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-constexpr std::size_t mostHeaderBytes = 32 << 10;
-constexpr std::size_t mostInterim = 16;
+constexpr std::size_t maxHeaderBytes = 32 << 10;
+constexpr std::size_t maxInterim = 16;
 
 std::optional<Ms> keepAliveTimeout(std::string_view value) {
   static constexpr std::string_view name = "timeout=";
@@ -63,9 +63,9 @@
 
 }  // namespace
 
-void AnswerReader::expect(Request const& request, std::size_t mostBodyBytes) {
+void AnswerReader::expect(Request const& request, std::size_t maxBodyBytes) {
   request_ = &request;
-  mostBodyBytes_ = mostBodyBytes;
+  maxBodyBytes_ = maxBodyBytes;
   parser_.reset();
   interim_ = 0;
   clean_ = false;
@@ -95,7 +95,7 @@
     relax(unread_, keptBytes);
     return progress;
   }
-  if (bytes.size() > mostHeaderBytes) {
+  if (bytes.size() > maxHeaderBytes) {
     return fail("malformed answer");
   }
   if (joins) {
@@ -109,8 +109,8 @@
 AnswerReader::Progress AnswerReader::parse(std::string_view bytes, std::size_t& used) {
   if (!parser_) {
     parser_.emplace();
-    parser_->header_limit(mostHeaderBytes);
-    parser_->body_limit(mostBodyBytes_);
+    parser_->header_limit(maxHeaderBytes);
+    parser_->body_limit(maxBodyBytes_);
     parser_->skip(request_->method == "HEAD");
   }
   if (!parser_->is_header_done()) {
@@ -160,7 +160,7 @@
 
 AnswerReader::Progress AnswerReader::endInterim() {
   parser_.reset();
-  return ++interim_ > mostInterim ? fail("too many interim answers") : Progress::partial;
+  return ++interim_ > maxInterim ? fail("too many interim answers") : Progress::partial;
 }
 
 bool AnswerReader::endsHere() {
--- a/libs/net/src/answer_reader.h
+++ b/libs/net/src/answer_reader.h
@@ -17,7 +17,7 @@
   enum class Progress { partial, whole, wrong };
 
   /// Forgets the last answer and expects the one to `request`, which must outlive it.
-  void expect(Request const& request, std::size_t mostBodyBytes);
+  void expect(Request const& request, std::size_t maxBodyBytes);
 
   Progress take(std::string_view fresh);
   /// The connection ended in order. Whether that is the end of the answer.
@@ -40,7 +40,7 @@
   Progress endInterim();
 
   Request const* request_ = nullptr;
-  std::size_t mostBodyBytes_ = 0;
+  std::size_t maxBodyBytes_ = 0;
   std::optional<Parser> parser_;
   std::size_t interim_ = 0;
   Headers headers_;
--- a/libs/net/src/client.cpp
+++ b/libs/net/src/client.cpp
@@ -7,7 +7,7 @@
 namespace limeramp::net {
 namespace {
 
-constexpr std::size_t mostAllowances = 1000;
+constexpr std::size_t maxAllowances = 1000;
 constexpr Ms sweepMs{10};
 
 }  // namespace
@@ -136,7 +136,7 @@
 
 void HttpClient::allow(Address const& server, Allowance const& allowance) {
   runOn(impl_->life, [impl = impl_, server, allowance] {
-    if (impl->allowances.size() >= mostAllowances) {
+    if (impl->allowances.size() >= maxAllowances) {
       impl->allowances.clear();
     }
     impl->allowances[server.text()] = allowance;
@@ -149,7 +149,7 @@
 ClientCounters HttpClient::counters() const {
   ClientCounters out;
   std::unique_lock<std::mutex> const lock(impl_->countersMutex);
-  out.all = impl_->retired;
+  out.all = impl_->mayShutDown;
   for (std::pair<std::string const, std::unique_ptr<Impl::Pool>> const& entry : impl_->pools) {
     ServerCounters const& one = entry.second->counters;
     out.servers[entry.first] = one;
--- a/libs/net/src/client_impl.h
+++ b/libs/net/src/client_impl.h
@@ -63,7 +63,7 @@
   bool ending = false;
   DeadlineSweep sweep;
   mutable std::mutex countersMutex;
-  ServerCounters retired;
+  ServerCounters mayShutDown;
 
   // connection_pool.cpp
   Pool& poolOf(Address const& server);
--- a/libs/net/src/connection_pool.cpp
+++ b/libs/net/src/connection_pool.cpp
@@ -5,7 +5,7 @@
 namespace limeramp::net {
 namespace {
 
-constexpr std::size_t mostPools = 1000;
+constexpr std::size_t maxPools = 1000;
 /// Idle connections are closed so long before the server would close them.
 constexpr Ms keepAliveMarginMs{300};
 
@@ -29,15 +29,15 @@
 }
 
 void HttpClient::Impl::prunePools() {
-  if (pools.size() < mostPools) {
+  if (pools.size() < maxPools) {
     return;
   }
   std::unique_lock<std::mutex> const lock(countersMutex);
   std::erase_if(pools, [this](std::pair<std::string const, std::unique_ptr<Pool>> const& entry) {
     bool const unused = entry.second->open == 0 && entry.second->waiting.empty();
     if (unused) {
-      retired.opened += entry.second->counters.opened;
-      retired.reused += entry.second->counters.reused;
+      mayShutDown.opened += entry.second->counters.opened;
+      mayShutDown.reused += entry.second->counters.reused;
     }
     return unused;
   });
--- a/libs/net/src/deadline_sweep.cpp
+++ b/libs/net/src/deadline_sweep.cpp
@@ -27,7 +27,7 @@
   TimePoint const soonest = expire_(now);
   next_ = TimePoint::max();
   if (soonest != TimePoint::max()) {
-    require(std::max(soonest, now + leastPause_));
+    require(std::max(soonest, now + minPause_));
   }
 }
 
--- a/libs/net/src/deadline_sweep.h
+++ b/libs/net/src/deadline_sweep.h
@@ -9,15 +9,15 @@
 namespace limeramp::net {
 
 /// One timer for the deadlines of many connections. It is set for the soonest deadline; when it fires, all that are
-/// due are ended together. Two sweeps are `leastPause` apart at least, unless a sooner deadline is required between.
+/// due are ended together. Two sweeps are `minPause` apart at least, unless a sooner deadline is required between.
 class DeadlineSweep {
  public:
   using TimePoint = Network::Impl::TimePoint;
   /// Ends what is due at `now` and returns the soonest deadline that is left.
   using Expire = std::function<TimePoint(TimePoint now)>;
 
-  DeadlineSweep(Network::Impl& network, std::chrono::milliseconds leastPause, Expire expire)
-      : network_(network), leastPause_(leastPause), expire_(std::move(expire)) {}
+  DeadlineSweep(Network::Impl& network, std::chrono::milliseconds minPause, Expire expire)
+      : network_(network), minPause_(minPause), expire_(std::move(expire)) {}
   DeadlineSweep(DeadlineSweep const&) = delete;
   DeadlineSweep& operator=(DeadlineSweep const&) = delete;
 
@@ -30,7 +30,7 @@
   void fire();
 
   Network::Impl& network_;
-  std::chrono::milliseconds leastPause_;
+  std::chrono::milliseconds minPause_;
   Expire expire_;
   std::weak_ptr<void> owner_;
   TimePoint next_ = TimePoint::max();
--- a/libs/net/src/peer_sender.cpp
+++ b/libs/net/src/peer_sender.cpp
@@ -7,7 +7,7 @@
 namespace limeramp::net {
 namespace {
 
-constexpr std::size_t mostOutstanding = 32;
+constexpr std::size_t maxOutstanding = 32;
 constexpr std::chrono::milliseconds patienceMs{800};
 
 }  // namespace
@@ -21,7 +21,7 @@
     out.idleMs = std::chrono::milliseconds(5000);
     out.maxConnectionsPerServer = 1;
     out.connectMs = std::chrono::milliseconds(250);
-    out.maxWaitingPerServer = mostOutstanding;
+    out.maxWaitingPerServer = maxOutstanding;
     return out;
   }
 
@@ -54,7 +54,7 @@
     count = entry;
     number = ++impl_->last;
   }
-  if (count->fetch_add(1) >= mostOutstanding) {
+  if (count->fetch_add(1) >= maxOutstanding) {
     --*count;
     return;
   }
--- a/libs/net/src/wire.cpp
+++ b/libs/net/src/wire.cpp
@@ -126,9 +126,9 @@
   out.append("\r\n").append(request.body);
 }
 
-void relax(std::string& buffer, std::size_t mostBytes) {
+void relax(std::string& buffer, std::size_t maxBytes) {
   buffer.clear();
-  if (buffer.capacity() > mostBytes) {
+  if (buffer.capacity() > maxBytes) {
     std::string().swap(buffer);
   }
 }
--- a/libs/net/src/wire.h
+++ b/libs/net/src/wire.h
@@ -23,6 +23,6 @@
 Head scanHead(HeadScan& scan, std::string_view bytes);
 void writeAnswer(std::string& out, Answer const& answer, Framing const& framing);
 void writeRequest(std::string& out, Request const& request, std::string const& server);
-void relax(std::string& buffer, std::size_t mostBytes);
+void relax(std::string& buffer, std::size_t maxBytes);
 
 }  // namespace limeramp::net
--- a/libs/node/src/peer_link.cpp
+++ b/libs/node/src/peer_link.cpp
@@ -8,7 +8,7 @@
     : mail_(network, address), node_(node), address_(address) {}
 
 void PeerLink::send(std::string const& fleet, std::string const& address, messages::Message message) {
-  mail_.send(address, messages::seal({fleet, node_, address_, std::move(message)}));
+  mail_.send(address, messages::encodeEnvelope({fleet, node_, address_, std::move(message)}));
 }
 
 void PeerLink::sendAll(std::string const& fleet, std::vector<distribution::Outgoing> const& sends) {
@@ -18,13 +18,13 @@
 }
 
 std::optional<messages::PeerMessage> PeerLink::open(std::string const& fleet, std::string const& envelope) {
-  absl::StatusOr<messages::PeerMessage> received = messages::unseal(envelope);
+  absl::StatusOr<messages::PeerMessage> received = messages::decodeEnvelope(envelope);
   if (!received.ok()) {
-    logging::raise(logging::Event::peerStrange, {{"reason", std::string(received.status().message())}});
+    logging::raise(logging::Event::peerUnexpected, {{"reason", std::string(received.status().message())}});
     return std::nullopt;
   }
   if (!fleet.empty() && !received->fleet.empty() && received->fleet != fleet) {
-    logging::raise(logging::Event::peerStrange, {{"fleet", received->fleet}, {"from", received->from}});
+    logging::raise(logging::Event::peerUnexpected, {{"fleet", received->fleet}, {"from", received->from}});
     return std::nullopt;
   }
   return *std::move(received);
--- a/libs/replication/include/limeramp/replication/replication_group.h
+++ b/libs/replication/include/limeramp/replication/replication_group.h
@@ -19,7 +19,7 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 using Puts = std::vector<std::pair<std::string, std::string>>;
 
-struct Policy {
+struct ReplicationOptions {
   std::chrono::milliseconds heartbeatMs{250};
   std::chrono::milliseconds idleHeartbeatMs{400};
   std::chrono::milliseconds lostMs{1200};
@@ -30,16 +30,16 @@
   std::chrono::milliseconds witnessGoneMs{2000};
   std::chrono::milliseconds spreadMs{5000};
   std::chrono::milliseconds diskSlowMs{1000};
-  std::chrono::milliseconds founderTurnMs{700};
-  std::chrono::milliseconds successorTurnMs{500};
+  std::chrono::milliseconds founderStaggerMs{700};
+  std::chrono::milliseconds successorStaggerMs{500};
   /// A member that is told to end waits no longer than this for its successors; below the platform's grace time of 6 s.
-  std::chrono::milliseconds leaveMs{5000};
-  std::size_t leastReplicas = 2;
-  std::size_t mostReplicas = 2;
-  std::size_t mostWitnesses = 3;
+  std::chrono::milliseconds shutdownGraceMs{5000};
+  std::size_t minReplicas = 2;
+  std::size_t maxReplicas = 2;
+  std::size_t maxWitnesses = 3;
 };
 
-Policy policyFor(std::size_t machineLosses);
+ReplicationOptions optionsFor(std::size_t machineLosses);
 
 struct Member {
   std::string id;
@@ -58,27 +58,28 @@
   std::vector<Member> members;
   bool mayFound = false;
 };
-struct Received {
+struct MessageReceived {
   std::string from;
   std::string address;
   messages::Message message;
 };
-struct Persisted {
+struct PersistFinished {
   std::uint64_t token = 0;
   bool good = false;
 };
-struct Offer {
+struct Proposal {
   std::uint64_t ticket = 0;
   messages::State state;
 };
 struct Tick {};
-struct Retire {};
+struct BeginShutdown {};
 struct ForceNewGroup {
   std::string fleet;
   messages::State state;
 };
 
-using Event = std::variant<Start, KnownMembers, Received, Persisted, Offer, Tick, Retire, ForceNewGroup>;
+using GroupEvent =
+    std::variant<Start, KnownMembers, MessageReceived, PersistFinished, Proposal, Tick, BeginShutdown, ForceNewGroup>;
 
 struct Send {
   std::string to;
@@ -93,14 +94,14 @@
   std::uint64_t ticket = 0;
   messages::State state;
 };
-struct Doubtful {
+struct OutcomeUnknown {
   std::uint64_t ticket = 0;
 };
-struct Active {
+struct BecamePrimary {
   std::uint64_t epoch = 0;
   messages::State state;
 };
-struct Inactive {};
+struct SteppedDown {};
 struct LogEntry {
   logging::Event event;
   std::string about;
@@ -110,12 +111,13 @@
   std::string refusal;
 };
 
-using Effect = std::variant<Send, Persist, Committed, Doubtful, Active, Inactive, NewGroupForced, LogEntry>;
+using GroupEffect =
+    std::variant<Send, Persist, Committed, OutcomeUnknown, BecamePrimary, SteppedDown, NewGroupForced, LogEntry>;
 
 /// How far a member that was told to end (Retire) has come with its leave.
-enum class LeaveProgress {
+enum class ShutdownProgress {
   /// It was not told to end.
-  staying,
+  notRequested,
   /// It is primary or backup, and no decided epoch names another one in its place yet.
   replicaNotReplaced,
   /// It is a witness, another machine is heard that could vote in its place, and no decided epoch says so yet.
@@ -129,33 +131,33 @@
 };
 
 /// The words that the status page shows.
-std::string_view nameOf(LeaveProgress progress);
+std::string_view nameOf(ShutdownProgress progress);
 
 class ReplicationGroup {
  public:
-  explicit ReplicationGroup(Policy const& policy);
+  explicit ReplicationGroup(ReplicationOptions const& options);
   ~ReplicationGroup();
   ReplicationGroup(ReplicationGroup const&);
   ReplicationGroup(ReplicationGroup&&) noexcept;
   ReplicationGroup& operator=(ReplicationGroup const&);
   ReplicationGroup& operator=(ReplicationGroup&&) noexcept;
 
-  std::vector<Effect> step(TimePoint now, Event const& event);
+  std::vector<GroupEffect> step(TimePoint now, GroupEvent const& event);
 
   bool active() const;
   bool busy() const;
-  bool ailing() const;
+  bool unhealthy() const;
   /// What a leave still waits for, as of the last step.
-  LeaveProgress leaveProgress() const;
+  ShutdownProgress shutdownProgress() const;
   /// True once a member that was told to end may do so: its leave is done, or its grace time is over.
-  bool retired() const;
+  bool mayShutDown() const;
   std::string const& id() const;
   messages::EpochRecord const& decided() const;
   messages::State const& state() const;
   std::uint64_t fenced() const;
   std::optional<TimePoint> leadershipConfirmedAt() const;
   std::string primaryAddress() const;
-  std::optional<std::chrono::milliseconds> heardMs(TimePoint now, std::string const& member) const;
+  std::optional<std::chrono::milliseconds> sinceHeartbeatMs(TimePoint now, std::string const& member) const;
 
   /// A hash of everything that decides what later steps do, for the model checker. Times count as differences from now;
   /// the random source and the numbers of past disk writes are left out.
--- a/libs/replication/src/acceptor.cpp
+++ b/libs/replication/src/acceptor.cpp
@@ -4,18 +4,19 @@
 
 namespace limeramp::replication {
 
-std::uint64_t Acceptor::highestRound() const { return std::max(promised.round, acceptedBallot.round); }
+std::uint64_t Acceptor::highestRound() const { return std::max(promisedBallot.round, acceptedBallot.round); }
 
-messages::Promise Acceptor::promise(messages::Ballot const& ballot) {
-  messages::Promise answer{nextEpoch(), ballot, ballot >= promised, promised, acceptedBallot, accepted};
-  promised = std::max(promised, ballot);
+messages::PrepareResponse Acceptor::promise(messages::Ballot const& ballot) {
+  messages::PrepareResponse answer{nextEpoch(),    ballot,         ballot >= promisedBallot,
+                                   promisedBallot, acceptedBallot, accepted};
+  promisedBallot = std::max(promisedBallot, ballot);
   return answer;
 }
 
-messages::Accepted Acceptor::accept(messages::Ballot const& ballot, messages::EpochRecord const& record) {
-  messages::Accepted answer{nextEpoch(), ballot, ballot >= promised, promised};
+messages::AcceptResponse Acceptor::accept(messages::Ballot const& ballot, messages::EpochRecord const& record) {
+  messages::AcceptResponse answer{nextEpoch(), ballot, ballot >= promisedBallot, promisedBallot};
   if (answer.granted) {
-    promised = ballot;
+    promisedBallot = ballot;
     acceptedBallot = ballot;
     accepted = record;
   }
@@ -24,7 +25,7 @@
 
 void Acceptor::adopt(messages::EpochRecord const& record) {
   decided = record;
-  promised = {};
+  promisedBallot = {};
   acceptedBallot = {};
   accepted.reset();
 }
--- a/libs/replication/src/acceptor.h
+++ b/libs/replication/src/acceptor.h
@@ -18,7 +18,7 @@
   messages::EpochRecord decided;
   /// The highest epoch under which this member acknowledges and confirms nothing more.
   std::uint64_t fenced = 0;
-  messages::Ballot promised;
+  messages::Ballot promisedBallot;
   messages::Ballot acceptedBallot;
   std::optional<messages::EpochRecord> accepted;
 
@@ -27,9 +27,9 @@
   std::uint64_t highestRound() const;
 
   /// Promises to take part in no lower ballot. Where the answer is granted, sync this before sending it.
-  messages::Promise promise(messages::Ballot const& ballot);
+  messages::PrepareResponse promise(messages::Ballot const& ballot);
   /// Accepts the record unless a higher ballot was promised. Where the answer is granted, sync this before sending it.
-  messages::Accepted accept(messages::Ballot const& ballot, messages::EpochRecord const& record);
+  messages::AcceptResponse accept(messages::Ballot const& ballot, messages::EpochRecord const& record);
   /// Takes over a record that was decided; the vote on it is settled and a vote on the next one begins.
   void adopt(messages::EpochRecord const& record);
   /// Gives up the decided epoch for good.
@@ -39,7 +39,7 @@
   static void describe(V& visit, T& self) {
     visit("decided", self.decided);
     visit("sealed", self.fenced);
-    visit("promised", self.promised);
+    visit("promised", self.promisedBallot);
     visit("acceptedBallot", self.acceptedBallot);
     visit("accepted", self.accepted);
   }
--- a/libs/replication/src/epoch_change.cpp
+++ b/libs/replication/src/epoch_change.cpp
@@ -26,27 +26,27 @@
   return std::count(acceptor.decided.witnesses.begin(), acceptor.decided.witnesses.end(), self.id) > 0;
 }
 
-void ReplicationGroup::Impl::learn(messages::EpochRecord const& record, bool withState) {
+void ReplicationGroup::Impl::adoptEpoch(messages::EpochRecord const& record, bool withState) {
   if (record.epoch <= acceptor.decided.epoch) {
     return;
   }
   if (acceptor.decided.epoch > 0 && record.fleet != acceptor.decided.fleet) {
-    effects.emplace_back(LogEntry{logging::Event::peerStrange, "a record of fleet " + record.fleet});
+    effects.emplace_back(LogEntry{logging::Event::peerUnexpected, "a record of fleet " + record.fleet});
     return;
   }
   effects.emplace_back(
       LogEntry{record.epoch == 1 ? logging::Event::founded : logging::Event::epochGranted,
                std::to_string(record.epoch) + " primary " + record.primary + " backups " + joined(record.backups)});
   bool const keepsTicket = record.primary == self.id;
-  std::optional<std::uint64_t> const held = ticket;
+  std::optional<std::uint64_t> const keptTicket = ticket;
   if (keepsTicket) {
     ticket.reset();
   }
   endLeadership();
-  ticket = keepsTicket ? held : std::nullopt;
+  ticket = keepsTicket ? keptTicket : std::nullopt;
   proposal = {};
   acceptor.adopt(record);
-  quietSince = now;
+  epochStableSince = now;
   persist(true, withState, {});
   beginLeadership();
 }
@@ -55,7 +55,7 @@
   membershipChangeDue = false;
   acceptor.fence();
   if (leadership == Leadership::active) {
-    effects.emplace_back(Inactive{});
+    effects.emplace_back(SteppedDown{});
     effects.emplace_back(LogEntry{logging::Event::primaryStopped, std::to_string(acceptor.decided.epoch)});
   }
   leadership = Leadership::none;
@@ -72,21 +72,21 @@
 
 void ReplicationGroup::Impl::tickPrimary() {
   if (leadership != Leadership::none && !replicator.waitingFor().empty() &&
-      now - replicator.sentAt() >= policy.resendMs) {
+      now - replicator.sentAt() >= options.resendMs) {
     sendLeadershipSyncs();
   }
   confirmLeadership();
-  bool const settled = now - quietSince >= policy.lostMs;
-  bool const backupGone = settled && !detector.allFresh(now, acceptor.decided.backups, policy.lostMs);
-  bool const handsOver = retiring() && !planner().backupsFor(self.id).empty();
-  membershipChangeDue =
-      !acceptor.isFenced() && !ailing() && (backupGone || handsOver || witnessesNeedChange()) && planner().couldGoOn();
+  bool const epochStable = now - epochStableSince >= options.lostMs;
+  bool const backupGone = epochStable && !detector.allAlive(now, acceptor.decided.backups, options.lostMs);
+  bool const transfersLeadership = shuttingDown() && !planner().backupsFor(self.id).empty();
+  membershipChangeDue = !acceptor.isFenced() && !unhealthy() &&
+                        (backupGone || transfersLeadership || witnessesNeedChange()) && planner().canFormGroup();
   if (membershipChangeDue && (backupGone || !ticket)) {
     if (backupGone) {
       effects.emplace_back(LogEntry{logging::Event::backupLost, joined(acceptor.decided.backups)});
     }
     beginMembershipChange();
-  } else if (acceptor.isFenced() && !ailing()) {
+  } else if (acceptor.isFenced() && !unhealthy()) {
     proposal.stage = ProposalStage::choosing;
   }
 }
@@ -95,28 +95,29 @@
 void ReplicationGroup::Impl::tickBackup() {
   std::vector<std::string> const& successors = acceptor.decided.backups;
   Ms const patience =
-      policy.takeoverMs +
-      policy.successorTurnMs * (std::find(successors.begin(), successors.end(), self.id) - successors.begin());
-  bool const gone = now - quietSince >= patience && !fresh(acceptor.decided.primary, patience);
-  if (!acceptor.isFenced() && !ailing() && gone && planner().couldGoOn()) {
+      options.takeoverMs +
+      options.successorStaggerMs * (std::find(successors.begin(), successors.end(), self.id) - successors.begin());
+  bool const gone = now - epochStableSince >= patience && !isAlive(acceptor.decided.primary, patience);
+  if (!acceptor.isFenced() && !unhealthy() && gone && planner().canFormGroup()) {
     fenceSelf();
     persist(true, false, {});
     proposal.stage = ProposalStage::choosing;
-  } else if (acceptor.isFenced() && !ailing() && now >= yieldUntil) {
+  } else if (acceptor.isFenced() && !unhealthy() && now >= yieldUntil) {
     proposal.stage = ProposalStage::choosing;
   }
 }
 
 bool ReplicationGroup::Impl::witnessesNeedChange() const {
-  if (now - startedAt < policy.lostMs || now - quietSince < policy.repairMs) {
+  if (now - startedAt < options.lostMs || now - epochStableSince < options.repairMs) {
     return false;
   }
   MembershipChoice const choice = planner().preferred();
-  return planner().repairWanted(choice) || (now - quietSince >= policy.spreadMs && planner().spreadWanted(choice));
+  return planner().repairWanted(choice) ||
+         (now - epochStableSince >= options.spreadMs && planner().spreadWanted(choice));
 }
 
-bool ReplicationGroup::Impl::partnersFresh() const {
-  return fresh(proposal.primary, policy.lostMs) && detector.allFresh(now, proposal.backups, policy.lostMs);
+bool ReplicationGroup::Impl::partnersAlive() const {
+  return isAlive(proposal.primary, options.lostMs) && detector.allAlive(now, proposal.backups, options.lostMs);
 }
 
 void ReplicationGroup::Impl::sendFencedSyncs() {
@@ -137,10 +138,10 @@
       chooseMembers();
       return;
     case ProposalStage::syncing:
-      if (!partnersFresh()) {
+      if (!partnersAlive()) {
         proposal.stage = ProposalStage::choosing;
         pushProposal();
-      } else if (now - proposal.sentAt >= policy.resendMs) {
+      } else if (now - proposal.sentAt >= options.resendMs) {
         sendFencedSyncs();
       }
       return;
@@ -154,19 +155,19 @@
 // Names the members of the next epoch and hands them the state. A leaving replica names another primary, and itself as
 // a backup only where the next primary would have none.
 void ReplicationGroup::Impl::chooseMembers() {
-  bool const handsOver = retiring();
+  bool const transfersLeadership = shuttingDown();
   std::vector<std::string> backups = planner().backupsFor(self.id);
-  if (1 + backups.size() < policy.leastReplicas) {
+  if (1 + backups.size() < options.minReplicas) {
     return;
   }
   proposal.primary = self.id;
-  if (handsOver && !backups.empty()) {
+  if (transfersLeadership && !backups.empty()) {
     std::vector<std::string>::const_iterator const successor =
         std::find_if(acceptor.decided.backups.begin(), acceptor.decided.backups.end(),
-                     [&](std::string const& id) { return fresh(id, policy.lostMs); });
+                     [&](std::string const& id) { return isAlive(id, options.lostMs); });
     proposal.primary = successor == acceptor.decided.backups.end() ? backups.front() : *successor;
     backups = planner().backupsFor(proposal.primary);
-    if (1 + backups.size() < policy.leastReplicas) {
+    if (1 + backups.size() < options.minReplicas) {
       backups.push_back(self.id);
     }
   }
@@ -184,11 +185,11 @@
 }
 
 void ReplicationGroup::Impl::pushBallot() {
-  if (now < proposal.retryAt && now - proposal.sentAt >= policy.resendMs) {
+  if (now < proposal.retryAt && now - proposal.sentAt >= options.resendMs) {
     sendBallot();
   } else if (now >= proposal.retryAt) {
     effects.emplace_back(LogEntry{logging::Event::ballotLost, std::to_string(proposal.ballot.round)});
-    if (acceptor.decided.epoch > 0 && !partnersFresh()) {
+    if (acceptor.decided.epoch > 0 && !partnersAlive()) {
       proposal.stage = ProposalStage::choosing;
       pushProposal();
     } else {
@@ -199,7 +200,7 @@
 
 void ReplicationGroup::Impl::beginBallot() {
   TimePoint const retryAt =
-      now + policy.ballotMs + Ms(static_cast<long>(random() % static_cast<std::uint64_t>(policy.ballotMs.count())));
+      now + options.ballotMs + Ms(static_cast<long>(random() % static_cast<std::uint64_t>(options.ballotMs.count())));
   proposal.prepare({++highestRound, self.id}, retryAt);
   if (acceptor.decided.epoch > 0) {
     proposal.voters = acceptor.decided.witnesses;
@@ -234,13 +235,13 @@
   sendBallot();
 }
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Prepare const& message) {
-  learn(message.decided);
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Prepare const& message) {
+  adoptEpoch(message.decided);
   if (message.decided.epoch < acceptor.decided.epoch) {
     messages::Heartbeat hint;
     hint.decided = acceptor.decided;
     hint.epoch = acceptor.decided.epoch;
-    hint.ailing = ailing() || retiring();
+    hint.unhealthy = unhealthy() || shuttingDown();
     send(from, hint);
     return;
   }
@@ -248,7 +249,7 @@
     return;
   }
   highestRound = std::max(highestRound, message.ballot.round);
-  messages::Promise const answer = acceptor.promise(message.ballot);
+  messages::PrepareResponse const answer = acceptor.promise(message.ballot);
   if (!answer.granted) {
     send(from, answer);
     return;
@@ -256,12 +257,12 @@
   persist(true, false, {Send{from, "", answer}});
 }
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Promise const& message) {
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::PrepareResponse const& message) {
   if (message.nextEpoch != acceptor.nextEpoch() || proposal.stage != ProposalStage::preparing ||
       message.ballot != proposal.ballot) {
     return;
   }
-  highestRound = std::max(highestRound, message.promised.round);
+  highestRound = std::max(highestRound, message.promisedBallot.round);
   if (!message.granted) {
     return;
   }
@@ -271,13 +272,13 @@
   }
 }
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Accept const& message) {
-  learn(message.decided);
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Accept const& message) {
+  adoptEpoch(message.decided);
   if (message.decided.epoch != acceptor.decided.epoch || !mayVote()) {
     return;
   }
   highestRound = std::max(highestRound, message.ballot.round);
-  messages::Accepted const answer = acceptor.accept(message.ballot, message.record);
+  messages::AcceptResponse const answer = acceptor.accept(message.ballot, message.record);
   if (!answer.granted) {
     send(from, answer);
     return;
@@ -285,19 +286,19 @@
   persist(true, false, {Send{from, "", answer}});
 }
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Accepted const& message) {
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::AcceptResponse const& message) {
   if (message.nextEpoch != acceptor.nextEpoch() || proposal.stage != ProposalStage::accepting ||
       message.ballot != proposal.ballot) {
     return;
   }
-  highestRound = std::max(highestRound, message.promised.round);
+  highestRound = std::max(highestRound, message.promisedBallot.round);
   if (!message.granted) {
     return;
   }
   proposal.yes.insert(from);
   if (proposal.yes.size() >= quorum()) {
     messages::EpochRecord const record = proposal.record;
-    learn(record);
+    adoptEpoch(record);
     heartbeatAll();
   }
 }
--- a/libs/replication/src/epoch_proposal.cpp
+++ b/libs/replication/src/epoch_proposal.cpp
@@ -11,7 +11,7 @@
   retryAt = retry;
 }
 
-void EpochProposal::countPromise(std::string const& from, messages::Promise const& promise) {
+void EpochProposal::countPromise(std::string const& from, messages::PrepareResponse const& promise) {
   if (promise.accepted && (!best || promise.acceptedBallot > bestBallot)) {
     best = promise.accepted;
     bestBallot = promise.acceptedBallot;
--- a/libs/replication/src/epoch_proposal.h
+++ b/libs/replication/src/epoch_proposal.h
@@ -43,7 +43,7 @@
   /// Begins the first phase of a new ballot.
   void prepare(messages::Ballot const& newBallot, TimePoint retry);
   /// Counts a promise, and keeps the accepted record of the highest ballot: that one may have been decided already.
-  void countPromise(std::string const& from, messages::Promise const& promise);
+  void countPromise(std::string const& from, messages::PrepareResponse const& promise);
   /// Begins the second phase, with the record that was found accepted if there is one.
   void accept();
 
--- a/libs/replication/src/failure_detector.cpp
+++ b/libs/replication/src/failure_detector.cpp
@@ -23,13 +23,14 @@
   std::erase_if(members_, [&](std::pair<std::string const, MemberStatus> const& entry) {
     bool const isListed =
         std::any_of(listed.begin(), listed.end(), [&](Member const& member) { return member.id == entry.first; });
-    return !isListed && now - entry.second.at > forgottenAfter && !keep(entry.first);
+    return !isListed && now - entry.second.lastHeartbeatAt > forgottenAfter && !keep(entry.first);
   });
 }
 
-MemberStatus& FailureDetector::heard(TimePoint now, std::string const& id, messages::Heartbeat const& heartbeat) {
+MemberStatus& FailureDetector::recordHeartbeat(TimePoint now, std::string const& id,
+                                               messages::Heartbeat const& heartbeat) {
   MemberStatus& entry = members_[id];
-  entry.at = now;
+  entry.lastHeartbeatAt = now;
   entry.ever = true;
   entry.heartbeat = heartbeat;
   entry.lastToken = heartbeat.token != 0 ? heartbeat.token : entry.lastToken;
@@ -41,17 +42,17 @@
   return found == members_.end() ? nullptr : &found->second;
 }
 
-bool FailureDetector::fresh(TimePoint now, std::string const& id, std::chrono::milliseconds within) const {
+bool FailureDetector::isAlive(TimePoint now, std::string const& id, std::chrono::milliseconds within) const {
   if (id == self_) {
     return true;
   }
   MemberStatus const* const found = find(id);
-  return found != nullptr && found->ever && !found->heartbeat.ailing && now - found->at <= within;
+  return found != nullptr && found->ever && !found->heartbeat.unhealthy && now - found->lastHeartbeatAt <= within;
 }
 
-bool FailureDetector::allFresh(TimePoint now, std::vector<std::string> const& ids,
+bool FailureDetector::allAlive(TimePoint now, std::vector<std::string> const& ids,
                                std::chrono::milliseconds within) const {
-  return std::all_of(ids.begin(), ids.end(), [&](std::string const& id) { return fresh(now, id, within); });
+  return std::all_of(ids.begin(), ids.end(), [&](std::string const& id) { return isAlive(now, id, within); });
 }
 
 bool FailureDetector::superseded(TimePoint now, std::string const& id, std::chrono::milliseconds within) const {
@@ -59,7 +60,7 @@
   return old != nullptr &&
          std::any_of(members_.begin(), members_.end(), [&](std::pair<std::string const, MemberStatus> const& entry) {
            return entry.first != id && entry.second.member.address == old->member.address &&
-                  entry.second.at > old->at && fresh(now, entry.first, within);
+                  entry.second.lastHeartbeatAt > old->lastHeartbeatAt && isAlive(now, entry.first, within);
          });
 }
 
@@ -73,7 +74,7 @@
     digest.add(entry.second.reached);
     digest.add(entry.second.lastToken);
     digest.add(entry.second.heartbeat);
-    digest.add(entry.second.at);
+    digest.add(entry.second.lastHeartbeatAt);
     digest.addDeadline(entry.second.nextHeartbeatAt);
   }
 }
--- a/libs/replication/src/failure_detector.h
+++ b/libs/replication/src/failure_detector.h
@@ -16,7 +16,7 @@
 /// What is known of another member: its address and zone, and the last heartbeat heard from it.
 struct MemberStatus {
   Member member;
-  TimePoint at{};
+  TimePoint lastHeartbeatAt{};
   messages::Heartbeat heartbeat;
   std::uint64_t lastToken = 0;
   bool ever = false;
@@ -38,15 +38,15 @@
   /// Takes addresses and zones from discovery, and forgets whoever is not listed, long silent and not to be kept.
   void know(TimePoint now, std::vector<Member> const& listed, std::function<bool(std::string const&)> const& keep);
   /// Counts a sign of life.
-  MemberStatus& heard(TimePoint now, std::string const& id, messages::Heartbeat const& heartbeat);
+  MemberStatus& recordHeartbeat(TimePoint now, std::string const& id, messages::Heartbeat const& heartbeat);
 
   std::map<std::string, MemberStatus>& members() { return members_; }
   std::map<std::string, MemberStatus> const& members() const { return members_; }
   MemberStatus const* find(std::string const& id) const;
 
   /// Heard within the given time, and neither ailing nor leaving. This member itself always is.
-  bool fresh(TimePoint now, std::string const& id, std::chrono::milliseconds within) const;
-  bool allFresh(TimePoint now, std::vector<std::string> const& ids, std::chrono::milliseconds within) const;
+  bool isAlive(TimePoint now, std::string const& id, std::chrono::milliseconds within) const;
+  bool allAlive(TimePoint now, std::vector<std::string> const& ids, std::chrono::milliseconds within) const;
   /// Another identity has been heard more lately at the member's address: its disk, and its vote, are gone.
   bool superseded(TimePoint now, std::string const& id, std::chrono::milliseconds within) const;
 
--- a/libs/replication/src/founding.cpp
+++ b/libs/replication/src/founding.cpp
@@ -15,19 +15,20 @@
 void ReplicationGroup::Impl::tryFounding() {
   std::vector<std::string>::const_iterator const turn =
       std::lower_bound(founders.begin(), founders.end(), self.address);
-  if (!mayVote() || retiring() || now - quietSince < policy.lostMs + policy.founderTurnMs * (turn - founders.begin())) {
+  if (!mayVote() || shuttingDown() ||
+      now - epochStableSince < options.lostMs + options.founderStaggerMs * (turn - founders.begin())) {
     return;
   }
   std::map<std::string, std::pair<TimePoint, std::string>> voters{{self.address, {now, self.id}}};
   std::size_t inSight = 1;
   for (std::pair<std::string const, MemberStatus> const& entry : detector.members()) {
     std::string const& address = entry.second.member.address;
-    inSight += fresh(entry.first, policy.lostMs) ? 1 : 0;
+    inSight += isAlive(entry.first, options.lostMs) ? 1 : 0;
     if (entry.second.ever && std::binary_search(founders.begin(), founders.end(), address)) {
-      voters[address] = std::max(voters[address], {entry.second.at, entry.first});
+      voters[address] = std::max(voters[address], {entry.second.lastHeartbeatAt, entry.first});
     }
   }
-  if (inSight < std::max(policy.leastReplicas, std::min(policy.mostWitnesses, founders.size()))) {
+  if (inSight < std::max(options.minReplicas, std::min(options.maxWitnesses, founders.size()))) {
     return;
   }
   proposal.record = {1, "", self.id, planner().backupsFor(self.id), {}};
@@ -45,14 +46,14 @@
 void ReplicationGroup::Impl::on(ForceNewGroup const& event) {
   std::string refusal;
   std::vector<std::string> const backups = planner().backupsFor(self.id);
-  if (broken || retiring()) {
+  if (storageUnusable || shuttingDown()) {
     refusal = "this controller's disk failed, or it is ending";
   } else if (acceptor.decided.epoch > 0 && event.fleet != acceptor.decided.fleet) {
     refusal = "this controller is of another fleet";
-  } else if (acceptor.decided.epoch > 0 && fresh(acceptor.decided.primary, policy.lostMs) &&
-             detector.allFresh(now, acceptor.decided.backups, policy.lostMs)) {
+  } else if (acceptor.decided.epoch > 0 && isAlive(acceptor.decided.primary, options.lostMs) &&
+             detector.allAlive(now, acceptor.decided.backups, options.lostMs)) {
     refusal = "primary and backup are alive";
-  } else if (!planner().couldGoOn()) {
+  } else if (!planner().canFormGroup()) {
     refusal = "no other controller is heard that could be backup";
   }
   if (!refusal.empty()) {
@@ -65,7 +66,7 @@
   std::uint64_t const generation = std::max(acceptor.decided.epoch, state.epoch) / forcedEpochStride + 1;
   messages::EpochRecord record{generation * forcedEpochStride + random() % (forcedEpochStride / 2), event.fleet,
                                self.id, backups, planner().witnessesFor(self.id, backups)};
-  learn(record, true);
+  adoptEpoch(record, true);
   effects.emplace_back(NewGroupForced{});
   heartbeatAll();
 }
--- a/libs/replication/src/heartbeats.cpp
+++ b/libs/replication/src/heartbeats.cpp
@@ -5,9 +5,9 @@
 
 namespace limeramp::replication {
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Heartbeat const& message) {
-  MemberStatus& entry = detector.heard(now, from, message);
-  learn(message.decided);
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Heartbeat const& message) {
+  MemberStatus& entry = detector.recordHeartbeat(now, from, message);
+  adoptEpoch(message.decided);
   bool const reached = std::exchange(entry.reached, true);
   if (leadership == Leadership::joining && !reached && isOf(acceptor.decided.backups, from)) {
     sendLeadershipSyncs();
@@ -18,7 +18,7 @@
     confirmLeadership();
   }
   if (isBackup() && from == acceptor.decided.primary && message.token != 0 &&
-      now + policy.heartbeatMs > entry.nextHeartbeatAt) {
+      now + options.heartbeatMs > entry.nextHeartbeatAt) {
     entry.nextHeartbeatAt = now;
     heartbeat();
   }
@@ -34,7 +34,7 @@
 // Whoever leaves waits until the epoch without it is stored; it need not wait for the next heartbeat besides.
 void ReplicationGroup::Impl::tellLeavingMembers() {
   for (std::pair<std::string const, MemberStatus>& entry : detector.members()) {
-    if (entry.second.heartbeat.ailing) {
+    if (entry.second.heartbeat.unhealthy) {
       entry.second.nextHeartbeatAt = now;
     }
   }
@@ -48,7 +48,7 @@
       continue;
     }
     bool const quick = acceptor.decided.epoch == 0 || (isPrimary() && isOf(acceptor.decided.backups, entry.first));
-    entry.second.nextHeartbeatAt = now + (quick ? policy.heartbeatMs : policy.idleHeartbeatMs);
+    entry.second.nextHeartbeatAt = now + (quick ? options.heartbeatMs : options.idleHeartbeatMs);
     if (token == 0) {
       token = ++lastToken;
       confirmation.heartbeatSent(token, now);
@@ -62,7 +62,7 @@
     message.storedEpoch = storedEpoch;
     message.token = token;
     message.echoed = entry.second.lastToken;
-    message.ailing = ailing() || retiring();
+    message.unhealthy = unhealthy() || shuttingDown();
     effects.emplace_back(Send{entry.first, entry.second.member.address, message});
   }
 }
--- a/libs/replication/src/leadership_confirmation.cpp
+++ b/libs/replication/src/leadership_confirmation.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A heartbeat that is echoed later than this many others were sent confirms nothing.
-constexpr std::size_t mostHeartbeatsKept = 64;
+constexpr std::size_t maxHeartbeatsKept = 64;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
 
 void LeadershipConfirmation::heartbeatSent(std::uint64_t token, TimePoint now) {
   sent_.push_back({token, now});
-  while (sent_.size() > mostHeartbeatsKept) {
+  while (sent_.size() > maxHeartbeatsKept) {
     sent_.pop_front();
   }
 }
--- a/libs/replication/src/membership_planner.cpp
+++ b/libs/replication/src/membership_planner.cpp
@@ -62,10 +62,10 @@
 
 std::vector<std::string> MembershipPlanner::backupsFor(std::string const& primary) const {
   std::vector<std::string> out;
-  while (1 + out.size() < policy.mostReplicas) {
+  while (1 + out.size() < options.maxReplicas) {
     std::vector<std::string> const replicas = replicasOf(primary, out);
     std::string const best = bestOf(detector.members(), [&](std::string const& id) {
-      if (id == self.id || isOf(replicas, id) || !detector.fresh(now, id, policy.lostMs)) {
+      if (id == self.id || isOf(replicas, id) || !detector.isAlive(now, id, options.lostMs)) {
         return notEligible;
       }
       return (inNewZone(replicas, id) ? 4 : 0) + (isOf(decided.backups, id) ? 2 : 0) +
@@ -82,10 +82,10 @@
 std::vector<std::string> MembershipPlanner::witnessesFor(std::string const& primary,
                                                          std::vector<std::string> const& backups) const {
   std::vector<std::string> out = replicasOf(primary, backups);
-  out.resize(std::min(out.size(), policy.mostWitnesses));
-  while (out.size() < policy.mostWitnesses) {
+  out.resize(std::min(out.size(), options.maxWitnesses));
+  while (out.size() < options.maxWitnesses) {
     std::string const best = bestOf(detector.members(), [&](std::string const& id) {
-      if (isOf(out, id) || !detector.fresh(now, id, policy.lostMs) || detector.superseded(now, id, policy.lostMs)) {
+      if (isOf(out, id) || !detector.isAlive(now, id, options.lostMs) || detector.superseded(now, id, options.lostMs)) {
         return notEligible;
       }
       return (inNewZone(out, id) ? 2 : 0) + (isOf(decided.witnesses, id) ? 1 : 0);
@@ -96,7 +96,7 @@
     out.push_back(best);
   }
   for (std::string const& id : decided.witnesses) {
-    if (out.size() < policy.mostWitnesses && !isOf(out, id)) {
+    if (out.size() < options.maxWitnesses && !isOf(out, id)) {
       out.push_back(id);
     }
   }
@@ -107,7 +107,7 @@
   return out;
 }
 
-bool MembershipPlanner::couldGoOn() const { return 1 + backupsFor(self.id).size() >= policy.leastReplicas; }
+bool MembershipPlanner::canFormGroup() const { return 1 + backupsFor(self.id).size() >= options.minReplicas; }
 
 MembershipChoice MembershipPlanner::preferred() const {
   std::vector<std::string> const backups = backupsFor(self.id);
@@ -119,8 +119,8 @@
   bool const replaceable = std::any_of(choice.witnesses.begin(), choice.witnesses.end(),
                                        [&](std::string const& id) { return !isOf(listed, id); });
   bool const wiped = std::any_of(listed.begin(), listed.end(),
-                                 [&](std::string const& id) { return detector.superseded(now, id, policy.lostMs); });
-  bool const lost = !detector.allFresh(now, listed, policy.witnessGoneMs);
+                                 [&](std::string const& id) { return detector.superseded(now, id, options.lostMs); });
+  bool const lost = !detector.allAlive(now, listed, options.witnessGoneMs);
   return (replaceable && (wiped || lost)) || choice.backups.size() > decided.backups.size();
 }
 
@@ -130,10 +130,10 @@
          zoneCount(replicasOf(self.id, choice.backups)) > zoneCount(replicasOf(self.id, decided.backups));
 }
 
-bool MembershipPlanner::successorHeard(std::vector<std::string> const& seats) const {
+bool MembershipPlanner::successorKnown(std::vector<std::string> const& seats) const {
   return !bestOf(detector.members(), [&](std::string const& id) {
-            bool const eligible = !isOf(seats, id) && detector.fresh(now, id, policy.lostMs) &&
-                                  !detector.superseded(now, id, policy.lostMs);
+            bool const eligible = !isOf(seats, id) && detector.isAlive(now, id, options.lostMs) &&
+                                  !detector.superseded(now, id, options.lostMs);
             return eligible ? 0 : notEligible;
           }).empty();
 }
--- a/libs/replication/src/replication_group.cpp
+++ b/libs/replication/src/replication_group.cpp
@@ -6,7 +6,7 @@
 
 void ReplicationGroup::Impl::send(std::string const& to, messages::Message message) {
   if (to == self.id) {
-    std::visit([&](auto const& concrete) { hear(self.id, concrete); }, message);
+    std::visit([&](auto const& concrete) { onMessage(self.id, concrete); }, message);
     return;
   }
   MemberStatus const* const found = detector.find(to);
@@ -33,13 +33,13 @@
   std::map<std::string, std::string>::const_iterator const schema = stored.find(key + "-schema");
   absl::StatusOr<T> read =
       schema == stored.end() ? messages::unpack<T>(found->second) : messages::unpack<T>(found->second, schema->second);
-  broken = broken || !read.ok();
+  storageUnusable = storageUnusable || !read.ok();
   if (read.ok()) {
     value = *std::move(read);
   }
 }
 
-std::uint64_t ReplicationGroup::Impl::persist(bool withVote, bool withState, std::vector<Effect> then) {
+std::uint64_t ReplicationGroup::Impl::persist(bool withVote, bool withState, std::vector<GroupEffect> then) {
   std::uint64_t const token = ++lastPersist;
   Persist effect{token, {}};
   if (withVote) {
@@ -64,19 +64,19 @@
   random.seed(event.seed);
   lastToken = random() >> 20;
   started = true;
-  quietSince = now;
+  epochStableSince = now;
   startedAt = now;
   founders = event.founders;
   std::sort(founders.begin(), founders.end());
   founders.erase(std::unique(founders.begin(), founders.end()), founders.end());
   diskless = event.diskless;
   if (diskless) {
-    broken = true;
+    storageUnusable = true;
     return;
   }
   restore("vote", event.stored, acceptor);
   restore("state", event.stored, state);
-  if (broken) {
+  if (storageUnusable) {
     effects.emplace_back(LogEntry{logging::Event::diskDamaged, "stored records do not read"});
     return;
   }
@@ -90,50 +90,50 @@
   detector.know(now, event.members, [this](std::string const& id) { return isReplica(id); });
 }
 
-void ReplicationGroup::Impl::on(Received const& event) {
+void ReplicationGroup::Impl::on(MessageReceived const& event) {
   if (event.from == self.id) {
     return;
   }
   Member& sender = detector.members()[event.from].member;
   sender.id = event.from;
   sender.address = event.address;
-  if (!broken) {
-    std::visit([&](auto const& concrete) { hear(event.from, concrete); }, event.message);
+  if (!storageUnusable) {
+    std::visit([&](auto const& concrete) { onMessage(event.from, concrete); }, event.message);
   } else if (messages::Heartbeat const* const heartbeat = std::get_if<messages::Heartbeat>(&event.message)) {
-    detector.heard(now, event.from, *heartbeat);
+    detector.recordHeartbeat(now, event.from, *heartbeat);
     bool const known = acceptor.decided.epoch == 0 || heartbeat->decided.fleet == acceptor.decided.fleet;
     bool const later = heartbeat->decided.epoch > acceptor.decided.epoch && known;
     acceptor.decided = later ? heartbeat->decided : acceptor.decided;
   }
 }
 
-void ReplicationGroup::Impl::on(Persisted const& event) {
-  std::map<std::uint64_t, std::vector<Effect>>::iterator const found = afterPersist.find(event.token);
+void ReplicationGroup::Impl::on(PersistFinished const& event) {
+  std::map<std::uint64_t, std::vector<GroupEffect>>::iterator const found = afterPersist.find(event.token);
   if (found == afterPersist.end()) {
     return;
   }
-  std::vector<Effect> const then = std::move(found->second);
+  std::vector<GroupEffect> const then = std::move(found->second);
   afterPersist.erase(found);
   persisting.erase(event.token);
   std::uint64_t const epochOnDisk = persistedEpochs[event.token];
   persistedEpochs.erase(event.token);
   if (!event.good) {
-    if (!broken) {
-      broken = true;
+    if (!storageUnusable) {
+      storageUnusable = true;
       effects.emplace_back(LogEntry{logging::Event::diskFailed, "a write or sync failed"});
       endLeadership();
       proposal = {};
     }
     return;
   }
-  if (broken) {
+  if (storageUnusable) {
     return;
   }
   if (epochOnDisk > storedEpoch) {
     storedEpoch = epochOnDisk;
     tellLeavingMembers();
   }
-  for (Effect const& effect : then) {
+  for (GroupEffect const& effect : then) {
     if (Send const* const later = std::get_if<Send>(&effect)) {
       send(later->to, later->message);
     } else {
@@ -147,7 +147,7 @@
 
 void ReplicationGroup::Impl::on(Tick const&) {
   heartbeat();
-  if (broken) {
+  if (storageUnusable) {
     return;
   }
   if (acceptor.decided.epoch == 0) {
@@ -155,7 +155,7 @@
       tryFounding();
     } else if (now >= proposal.retryAt) {
       proposal = {};
-      quietSince = now - policy.lostMs;
+      epochStableSince = now - options.lostMs;
     }
     return;
   }
@@ -179,7 +179,7 @@
     digest.add(entry.first == replicator.persistToken());
     digest.add(entry.first == fencePersist);
     digest.add(persistedEpochs.at(entry.first));
-    for (Effect const& effect : afterPersist.at(entry.first)) {
+    for (GroupEffect const& effect : afterPersist.at(entry.first)) {
       if (Send const* const send = std::get_if<Send>(&effect)) {
         digest.add(send->to);
         digest.add(send->message);
@@ -188,16 +188,16 @@
   }
 }
 
-Policy policyFor(std::size_t machineLosses) {
+ReplicationOptions optionsFor(std::size_t machineLosses) {
   std::size_t const losses = std::clamp<std::size_t>(machineLosses, 1, 4);
-  Policy policy;
-  policy.leastReplicas = machineLosses == 0 ? 1 : 2;
-  policy.mostReplicas = losses + 1;
-  policy.mostWitnesses = 2 * losses + 1;
-  return policy;
+  ReplicationOptions options;
+  options.minReplicas = machineLosses == 0 ? 1 : 2;
+  options.maxReplicas = losses + 1;
+  options.maxWitnesses = 2 * losses + 1;
+  return options;
 }
 
-ReplicationGroup::ReplicationGroup(Policy const& policy) : impl_(std::make_unique<Impl>(policy)) {}
+ReplicationGroup::ReplicationGroup(ReplicationOptions const& options) : impl_(std::make_unique<Impl>(options)) {}
 ReplicationGroup::~ReplicationGroup() = default;
 ReplicationGroup::ReplicationGroup(ReplicationGroup const& other) : impl_(std::make_unique<Impl>(*other.impl_)) {}
 ReplicationGroup::ReplicationGroup(ReplicationGroup&&) noexcept = default;
@@ -207,7 +207,7 @@
 }
 ReplicationGroup& ReplicationGroup::operator=(ReplicationGroup&&) noexcept = default;
 
-std::vector<Effect> ReplicationGroup::step(TimePoint now, Event const& event) {
+std::vector<GroupEffect> ReplicationGroup::step(TimePoint now, GroupEvent const& event) {
   impl_->now = now;
   impl_->effects.clear();
   if (impl_->started || std::holds_alternative<Start>(event)) {
@@ -218,11 +218,11 @@
 
 bool ReplicationGroup::active() const { return impl_->leadership == Leadership::active && !impl_->acceptor.isFenced(); }
 bool ReplicationGroup::busy() const { return impl_->ticket.has_value(); }
-bool ReplicationGroup::ailing() const { return impl_->ailing() && !impl_->diskless; }
-LeaveProgress ReplicationGroup::leaveProgress() const { return impl_->leaveProgress(); }
-bool ReplicationGroup::retired() const {
-  LeaveProgress const progress = leaveProgress();
-  return progress == LeaveProgress::done || progress == LeaveProgress::graceTimeOver;
+bool ReplicationGroup::unhealthy() const { return impl_->unhealthy() && !impl_->diskless; }
+ShutdownProgress ReplicationGroup::shutdownProgress() const { return impl_->shutdownProgress(); }
+bool ReplicationGroup::mayShutDown() const {
+  ShutdownProgress const progress = shutdownProgress();
+  return progress == ShutdownProgress::done || progress == ShutdownProgress::graceTimeOver;
 }
 std::string const& ReplicationGroup::id() const { return impl_->self.id; }
 messages::EpochRecord const& ReplicationGroup::decided() const { return impl_->acceptor.decided; }
@@ -233,28 +233,29 @@
 std::string ReplicationGroup::primaryAddress() const {
   std::string const& primary = impl_->acceptor.decided.primary;
   if (primary == impl_->self.id) {
-    return impl_->ailing() ? "" : impl_->self.address;
+    return impl_->unhealthy() ? "" : impl_->self.address;
   }
   MemberStatus const* const found = impl_->detector.find(primary);
   return found == nullptr ? "" : found->member.address;
 }
 
-std::optional<std::chrono::milliseconds> ReplicationGroup::heardMs(TimePoint now, std::string const& member) const {
+std::optional<std::chrono::milliseconds> ReplicationGroup::sinceHeartbeatMs(TimePoint now,
+                                                                            std::string const& member) const {
   MemberStatus const* const found = impl_->detector.find(member);
   if (found == nullptr || !found->ever) {
     return std::nullopt;
   }
-  return std::chrono::duration_cast<Ms>(now - found->at);
+  return std::chrono::duration_cast<Ms>(now - found->lastHeartbeatAt);
 }
 
 std::uint64_t ReplicationGroup::digest(TimePoint now) const {
   Impl const& impl = *impl_;
-  messages::StateDigest digest(now, impl.policy.spreadMs);
+  messages::StateDigest digest(now, impl.options.spreadMs);
   digest.add(impl.started);
-  digest.add(impl.broken);
+  digest.add(impl.storageUnusable);
   digest.add(impl.diskless);
-  digest.add(impl.retiring());
-  digest.add(impl.retireAskedAt.value_or(TimePoint{}));
+  digest.add(impl.shuttingDown());
+  digest.add(impl.shutdownRequestedAt.value_or(TimePoint{}));
   digest.add(impl.storedEpoch);
   digest.add(impl.mayFound);
   digest.add(impl.self.id);
@@ -265,7 +266,7 @@
   digest.add(impl.state);
   digest.add(impl.schemasStored);
   digest.add(impl.highestRound);
-  digest.add(impl.quietSince);
+  digest.add(impl.epochStableSince);
   digest.add(impl.startedAt);
   digest.addDeadline(impl.yieldUntil);
   digest.add(impl.lastToken);
--- a/libs/replication/src/replication_group_impl.h
+++ b/libs/replication/src/replication_group_impl.h
@@ -31,15 +31,15 @@
 /// state_transfer.cpp the replication of states, epoch_change.cpp proposals and ballots, heartbeats.cpp the heartbeats,
 /// leaving.cpp what a member waits for that was told to end.
 struct ReplicationGroup::Impl {
-  explicit Impl(Policy const& policyIn) : policy(policyIn) {}
+  explicit Impl(ReplicationOptions const& optionsIn) : options(optionsIn) {}
 
-  Policy policy;
+  ReplicationOptions options;
   TimePoint now{};
-  std::vector<Effect> effects;
+  std::vector<GroupEffect> effects;
   bool started = false;
-  bool broken = false;
+  bool storageUnusable = false;
   bool diskless = false;
-  std::optional<TimePoint> retireAskedAt;
+  std::optional<TimePoint> shutdownRequestedAt;
   std::uint64_t storedEpoch = 0;
   Member self;
   std::mt19937_64 random;
@@ -50,10 +50,10 @@
   std::vector<std::string> founders;
   std::uint64_t lastToken = 0;
   LeadershipConfirmation confirmation;
-  TimePoint quietSince{};
+  TimePoint epochStableSince{};
   TimePoint startedAt{};
   std::uint64_t lastPersist = 0;
-  std::map<std::uint64_t, std::vector<Effect>> afterPersist;
+  std::map<std::uint64_t, std::vector<GroupEffect>> afterPersist;
   std::map<std::uint64_t, TimePoint> persisting;
   std::map<std::uint64_t, std::uint64_t> persistedEpochs;
   std::set<std::string> schemasStored;
@@ -68,49 +68,49 @@
 
   void on(Start const& event);
   void on(KnownMembers const& event);
-  void on(Received const& event);
-  void on(Persisted const& event);
-  void on(Offer const& event);
+  void on(MessageReceived const& event);
+  void on(PersistFinished const& event);
+  void on(Proposal const& event);
   void on(Tick const& event);
-  void on(Retire const&) {
-    retireAskedAt = retireAskedAt.value_or(now);
+  void on(BeginShutdown const&) {
+    shutdownRequestedAt = shutdownRequestedAt.value_or(now);
     heartbeatAll();
   }
   void on(ForceNewGroup const& event);
 
-  void hear(std::string const& from, messages::Heartbeat const& message);
-  void hear(std::string const& from, messages::Prepare const& message);
-  void hear(std::string const& from, messages::Promise const& message);
-  void hear(std::string const& from, messages::Accept const& message);
-  void hear(std::string const& from, messages::Accepted const& message);
-  void hear(std::string const& from, messages::Sync const& message);
-  void hear(std::string const& from, messages::Synced const& message);
+  void onMessage(std::string const& from, messages::Heartbeat const& message);
+  void onMessage(std::string const& from, messages::Prepare const& message);
+  void onMessage(std::string const& from, messages::PrepareResponse const& message);
+  void onMessage(std::string const& from, messages::Accept const& message);
+  void onMessage(std::string const& from, messages::AcceptResponse const& message);
+  void onMessage(std::string const& from, messages::Sync const& message);
+  void onMessage(std::string const& from, messages::Synced const& message);
   template <typename Other>
-  void hear(std::string const&, Other const&) {}
+  void onMessage(std::string const&, Other const&) {}
 
-  bool ailing() const {
-    return broken || (!persisting.empty() && now - persisting.begin()->second >= policy.diskSlowMs);
+  bool unhealthy() const {
+    return storageUnusable || (!persisting.empty() && now - persisting.begin()->second >= options.diskSlowMs);
   }
-  bool retiring() const { return retireAskedAt.has_value(); }
+  bool shuttingDown() const { return shutdownRequestedAt.has_value(); }
   bool isPrimary() const { return acceptor.decided.epoch > 0 && acceptor.decided.primary == self.id; }
   bool isBackup() const { return acceptor.decided.epoch > 0 && isOf(acceptor.decided.backups, self.id); }
   bool isReplica(std::string const& id) const {
     return acceptor.decided.epoch > 0 && (id == acceptor.decided.primary || isOf(acceptor.decided.backups, id));
   }
-  bool fresh(std::string const& id, Ms within) const { return detector.fresh(now, id, within); }
-  MembershipPlanner planner() const { return {policy, detector, acceptor.decided, self, now}; }
+  bool isAlive(std::string const& id, Ms within) const { return detector.isAlive(now, id, within); }
+  MembershipPlanner planner() const { return {options, detector, acceptor.decided, self, now}; }
   std::size_t quorum() const;
   bool mayVote() const;
   bool epochSpread() const;
-  LeaveProgress leaveProgress() const;
+  ShutdownProgress shutdownProgress() const;
 
   void send(std::string const& to, messages::Message message);
   template <typename T>
   void store(std::string const& key, T const& value, Puts& puts);
   template <typename T>
   void restore(std::string const& key, std::map<std::string, std::string> const& stored, T& value);
-  std::uint64_t persist(bool withVote, bool withState, std::vector<Effect> then);
-  void learn(messages::EpochRecord const& record, bool withState = false);
+  std::uint64_t persist(bool withVote, bool withState, std::vector<GroupEffect> then);
+  void adoptEpoch(messages::EpochRecord const& record, bool withState = false);
   void beginLeadership();
   void endLeadership();
   void beginLeadershipSync();
@@ -120,7 +120,7 @@
   void beginMembershipChange();
   void sendLeadershipSyncs();
   bool witnessesNeedChange() const;
-  bool partnersFresh() const;
+  bool partnersAlive() const;
   void sendFencedSyncs();
   void pushProposal();
   void chooseMembers();
--- a/libs/replication/src/leaving.cpp
+++ b/libs/replication/src/shutdown.cpp
@@ -16,40 +16,40 @@
   return stored(acceptor.decided.primary) && votes >= quorum();
 }
 
-LeaveProgress ReplicationGroup::Impl::leaveProgress() const {
-  if (!retiring()) {
-    return LeaveProgress::staying;
+ShutdownProgress ReplicationGroup::Impl::shutdownProgress() const {
+  if (!shuttingDown()) {
+    return ShutdownProgress::notRequested;
   }
-  if (broken || acceptor.decided.epoch == 0) {
-    return LeaveProgress::done;
+  if (storageUnusable || acceptor.decided.epoch == 0) {
+    return ShutdownProgress::done;
   }
-  if (now - *retireAskedAt >= policy.leaveMs) {
-    return LeaveProgress::graceTimeOver;
+  if (now - *shutdownRequestedAt >= options.shutdownGraceMs) {
+    return ShutdownProgress::graceTimeOver;
   }
-  bool const othersHoldTheState = isBackup() && fresh(acceptor.decided.primary, policy.lostMs);
-  bool const successor = planner().successorHeard(replicasOf(acceptor.decided.primary, acceptor.decided.backups));
+  bool const othersHoldTheState = isBackup() && isAlive(acceptor.decided.primary, options.lostMs);
+  bool const successor = planner().successorKnown(replicasOf(acceptor.decided.primary, acceptor.decided.backups));
   if (isReplica(self.id) && (successor || !othersHoldTheState)) {
-    return LeaveProgress::replicaNotReplaced;
+    return ShutdownProgress::replicaNotReplaced;
   }
-  if (isOf(acceptor.decided.witnesses, self.id) && planner().successorHeard(acceptor.decided.witnesses)) {
-    return LeaveProgress::voteNotReplaced;
+  if (isOf(acceptor.decided.witnesses, self.id) && planner().successorKnown(acceptor.decided.witnesses)) {
+    return ShutdownProgress::voteNotReplaced;
   }
-  return epochSpread() ? LeaveProgress::done : LeaveProgress::epochNotSpread;
+  return epochSpread() ? ShutdownProgress::done : ShutdownProgress::epochNotSpread;
 }
 
-std::string_view nameOf(LeaveProgress progress) {
+std::string_view nameOf(ShutdownProgress progress) {
   switch (progress) {
-    case LeaveProgress::staying:
+    case ShutdownProgress::notRequested:
       return "staying";
-    case LeaveProgress::replicaNotReplaced:
+    case ShutdownProgress::replicaNotReplaced:
       return "replica not replaced";
-    case LeaveProgress::voteNotReplaced:
+    case ShutdownProgress::voteNotReplaced:
       return "vote not replaced";
-    case LeaveProgress::epochNotSpread:
+    case ShutdownProgress::epochNotSpread:
       return "epoch not spread";
-    case LeaveProgress::done:
+    case ShutdownProgress::done:
       return "done";
-    case LeaveProgress::graceTimeOver:
+    case ShutdownProgress::graceTimeOver:
       return "grace time over";
   }
   return "";
--- a/libs/replication/src/state_transfer.cpp
+++ b/libs/replication/src/state_transfer.cpp
@@ -7,13 +7,13 @@
 
 void ReplicationGroup::Impl::endLeadership() {
   if (leadership == Leadership::active) {
-    effects.emplace_back(Inactive{});
+    effects.emplace_back(SteppedDown{});
     effects.emplace_back(LogEntry{logging::Event::primaryStopped, std::to_string(acceptor.decided.epoch)});
   }
   leadership = Leadership::none;
   confirmation.withdraw();
   if (ticket) {
-    effects.emplace_back(Doubtful{*ticket});
+    effects.emplace_back(OutcomeUnknown{*ticket});
     ticket.reset();
   }
 }
@@ -47,7 +47,7 @@
   }
   if (leadership == Leadership::joining) {
     leadership = Leadership::active;
-    effects.emplace_back(Active{acceptor.decided.epoch, state});
+    effects.emplace_back(BecamePrimary{acceptor.decided.epoch, state});
     effects.emplace_back(LogEntry{logging::Event::primaryBegan, std::to_string(acceptor.decided.epoch)});
   }
   if (ticket) {
@@ -59,9 +59,9 @@
   }
 }
 
-void ReplicationGroup::Impl::on(Offer const& event) {
-  if (leadership != Leadership::active || ticket || retiring() || acceptor.isFenced() || !replicator.committed()) {
-    effects.emplace_back(Doubtful{event.ticket});
+void ReplicationGroup::Impl::on(Proposal const& event) {
+  if (leadership != Leadership::active || ticket || shuttingDown() || acceptor.isFenced() || !replicator.committed()) {
+    effects.emplace_back(OutcomeUnknown{event.ticket});
     return;
   }
   ticket = event.ticket;
@@ -73,8 +73,8 @@
   beginLeadershipSync();
 }
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Sync const& message) {
-  learn(message.decided);
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Sync const& message) {
+  adoptEpoch(message.decided);
   if (message.decided.epoch != acceptor.decided.epoch || message.decided.epoch == 0) {
     return;
   }
@@ -87,7 +87,7 @@
       fenceSelf();
       withVote = true;
     }
-    yieldUntil = now + policy.lostMs;
+    yieldUntil = now + options.lostMs;
   } else {
     std::strong_ordering const order = message.state.version() <=> state.version();
     if (isPrimary() && leadership == Leadership::joining && isOf(acceptor.decided.backups, from) && order > 0 &&
@@ -106,20 +106,20 @@
     }
   }
   bool const changed = !(state == message.state);
-  std::vector<Effect> then{Send{from, "", messages::Synced{acceptor.decided.epoch, message.token}}};
+  std::vector<GroupEffect> then{Send{from, "", messages::Synced{acceptor.decided.epoch, message.token}}};
   if (changed && state.epoch < message.state.epoch) {
     effects.emplace_back(LogEntry{logging::Event::replicaRebuilt,
                                   std::to_string(message.state.epoch) + "." + std::to_string(message.state.sequence)});
   }
   if (changed && ticket) {
-    effects.emplace_back(Doubtful{*ticket});
+    effects.emplace_back(OutcomeUnknown{*ticket});
     ticket.reset();
   }
   state = message.state;
   persist(withVote, true, std::move(then));
 }
 
-void ReplicationGroup::Impl::hear(std::string const& from, messages::Synced const& message) {
+void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Synced const& message) {
   if (message.epoch != acceptor.decided.epoch) {
     return;
   }
--- a/libs/retry/include/limeramp/retry/ledger.h
+++ b/libs/retry/include/limeramp/retry/ledger.h
@@ -24,7 +24,7 @@
 
 class Ledger {
  public:
-  static constexpr std::size_t mostUnreached = 4;
+  static constexpr std::size_t maxUnreached = 4;
 
   void assign(std::uint64_t attempt, std::uint64_t server, TimePoint now);
   void complete(std::uint64_t attempt);
@@ -34,7 +34,7 @@
   bool hasOpen() const;
   bool isComplete() const;
   bool hasTried(std::uint64_t server) const;
-  bool mayAttemptAgain(std::size_t mostAttempts, bool repeatable) const;
+  bool mayAttemptAgain(std::size_t maxAttempts, bool repeatable) const;
   bool mayHaveRun() const;
   bool hasReached() const;
   TimePoint lastBegan() const;
--- a/libs/retry/src/ledger.cpp
+++ b/libs/retry/src/ledger.cpp
@@ -47,10 +47,10 @@
   return std::any_of(attempts_.begin(), attempts_.end(), [](Attempt const& entry) { return entry.reached; });
 }
 
-bool Ledger::mayAttemptAgain(std::size_t mostAttempts, bool repeatable) const {
+bool Ledger::mayAttemptAgain(std::size_t maxAttempts, bool repeatable) const {
   std::size_t const reached = static_cast<std::size_t>(
       std::count_if(attempts_.begin(), attempts_.end(), [](Attempt const& entry) { return entry.reached; }));
-  return !isComplete() && reached < mostAttempts && attempts_.size() - reached <= mostUnreached &&
+  return !isComplete() && reached < maxAttempts && attempts_.size() - reached <= maxUnreached &&
          (repeatable || !mayHaveRun());
 }
 
--- a/libs/storage/include/limeramp/storage/record_store.h
+++ b/libs/storage/include/limeramp/storage/record_store.h
@@ -14,21 +14,21 @@
 
 using Puts = std::vector<std::pair<std::string, std::string>>;
 
-struct Shape {
+struct RingLayout {
   std::size_t files = 4;
   std::size_t fileBytes = 16 << 20;
 };
 
 struct Findings {
   bool empty = false;
-  bool tailCut = false;
+  bool tailTruncated = false;
   bool damaged = false;
   std::string detail;
 };
 
 class RecordStore {
  public:
-  static absl::StatusOr<std::unique_ptr<RecordStore>> open(std::string const& folder, Shape const& shape = {});
+  static absl::StatusOr<std::unique_ptr<RecordStore>> open(std::string const& folder, RingLayout const& shape = {});
   ~RecordStore();
   RecordStore(RecordStore const&) = delete;
   RecordStore& operator=(RecordStore const&) = delete;
--- a/libs/storage/src/record_store.cpp
+++ b/libs/storage/src/record_store.cpp
@@ -46,7 +46,7 @@
   std::uint64_t checksum = 0;
 };
 
-constexpr std::uint32_t magicMark = 0x444c4f48;
+constexpr std::uint32_t magicNumber = 0x444c4f48;
 
 std::uint64_t checksumOf(Head const& head, char const* payload) {
   std::uint64_t const marks[3]{head.size, head.generation, head.serial};
@@ -63,7 +63,7 @@
     return std::nullopt;
   }
   std::memcpy(&head, bytes.data() + at, sizeof head);
-  if (head.magic != magicMark || head.size > bytes.size() - at - sizeof head ||
+  if (head.magic != magicNumber || head.size > bytes.size() - at - sizeof head ||
       head.checksum != checksumOf(head, bytes.data() + at + sizeof head)) {
     return std::nullopt;
   }
@@ -109,12 +109,12 @@
   Head raw;
   if (at + sizeof raw <= bytes.size()) {
     std::memcpy(&raw, bytes.data() + at, sizeof raw);
-    out.torn = raw.magic == magicMark && (!out.checkpoint || raw.generation == out.generation);
+    out.torn = raw.magic == magicNumber && (!out.checkpoint || raw.generation == out.generation);
   }
   for (std::size_t later = at + 8; later + sizeof(Head) <= bytes.size(); later += 8) {
     std::uint32_t mark = 0;
     std::memcpy(&mark, bytes.data() + later, sizeof mark);
-    if (mark != magicMark) {
+    if (mark != magicNumber) {
       continue;
     }
     std::optional<Head> const head = headAt(bytes, later);
@@ -132,7 +132,7 @@
 
 struct RecordStore::Impl {
   std::string folder;
-  Shape shape;
+  RingLayout shape;
   Findings findings;
   std::map<std::string, std::string> values;
   std::vector<int> files;
@@ -220,7 +220,7 @@
     findings.empty = !any;
     if (!best) {
       findings.damaged = any && rottenGeneration > 0;
-      findings.tailCut = any && rottenGeneration == 0;
+      findings.tailTruncated = any && rottenGeneration == 0;
       findings.detail = findings.damaged ? "no readable checkpoint" : "";
       return absl::OkStatus();
     }
@@ -233,14 +233,14 @@
     generation = best->generation;
     serial = best->nextSerial;
     end = best->end;
-    findings.tailCut = best->torn;
+    findings.tailTruncated = best->torn;
     values = std::move(best->values);
     return absl::OkStatus();
   }
 
   absl::Status append(Batch const& batch) {
     std::string const payload = messages::pack(batch);
-    Head head{magicMark, static_cast<std::uint32_t>(payload.size()), generation, serial, 0};
+    Head head{magicNumber, static_cast<std::uint32_t>(payload.size()), generation, serial, 0};
     head.checksum = checksumOf(head, payload.data());
     std::string record(aligned(sizeof head + payload.size()), '\0');
     std::memcpy(record.data(), &head, sizeof head);
@@ -303,7 +303,7 @@
 RecordStore::RecordStore() : impl_(std::make_unique<Impl>()) {}
 RecordStore::~RecordStore() = default;
 
-absl::StatusOr<std::unique_ptr<RecordStore>> RecordStore::open(std::string const& folder, Shape const& shape) {
+absl::StatusOr<std::unique_ptr<RecordStore>> RecordStore::open(std::string const& folder, RingLayout const& shape) {
   std::unique_ptr<RecordStore> store(new RecordStore());
   Impl& impl = *store->impl_;
   impl.folder = folder;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -56,7 +56,7 @@
       ASSERT_FALSE(sent.empty());
       middle.push_back(sent[sent.size() / 2]);
       shuffleBytes.push_back(bytesOf(steady, "Shuffle"));
-      EXPECT_EQ(steady.leastServing, nodes);
+      EXPECT_EQ(steady.minServing, nodes);
       std::printf("seed %llu, %zu nodes: a front sends %.1f / %.1f / %.1f messages a second\n",
                   static_cast<unsigned long long>(seed), nodes, sent.front(), middle.back(), sent.back());
     }
@@ -99,7 +99,7 @@
 
 TEST(Capacity, NodesAboveThePrimarysBoundAreLeftOffTheRoster) {
   Shape shape = shapeOf(30, 4);
-  shape.mostNodes = 20;
+  shape.maxNodes = 20;
   Fleet fleet(shape);
   fleet.startAll(Ms(4000), Ms(1000));
   EXPECT_FALSE(fleet.awaitServing(30, Ms(10'000)));
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -46,7 +46,7 @@
     fleet.run(Ms(25));
   }
   return ticket && fleet.answers.contains(*ticket) &&
-         fleet.answers.at(*ticket).decided.verdict == control::Verdict::taken;
+         fleet.answers.at(*ticket).decided.verdict == control::OrderStatus::taken;
 }
 
 bool retryUntilTaken(FleetSimulation& fleet, std::string const& id, std::string const& body) {
@@ -244,8 +244,8 @@
   messages::State const newer = history.next();
   distribution::ConfigDelivery delivery({}, {"m1", "10.0.0.1:1", "z1", 0, 0}, 7, 1);
   TimePoint const now{Ms(1000)};
-  EXPECT_TRUE(delivery.hear(now, "10.0.0.2:1", distribution::updateFor(newer, {}, {}, {})).changed);
-  EXPECT_FALSE(delivery.hear(now, "10.0.0.2:1", distribution::updateFor(older, {}, {}, {})).changed);
+  EXPECT_TRUE(delivery.onMessage(now, "10.0.0.2:1", distribution::updateFor(newer, {}, {}, {})).changed);
+  EXPECT_FALSE(delivery.onMessage(now, "10.0.0.2:1", distribution::updateFor(older, {}, {}, {})).changed);
   EXPECT_EQ(delivery.state()->version(), newer.version());
 }
 
@@ -270,8 +270,8 @@
 TEST(EarlierVersions, APollWithoutPartsIsAnsweredWithTheWholeStateButItsReceipts) {
   EarlierPoll earlier;
   earlier.self = {"m1", "10.0.0.1:1", "z1", 1, 0};
-  absl::StatusOr<messages::Poll> const poll =
-      messages::unpack<messages::Poll>(messages::pack(earlier), messages::schemaOf<EarlierPoll>());
+  absl::StatusOr<messages::StateRequest> const poll =
+      messages::unpack<messages::StateRequest>(messages::pack(earlier), messages::schemaOf<EarlierPoll>());
   ASSERT_TRUE(poll.ok());
   EXPECT_FALSE(poll->parts);
   EXPECT_TRUE(poll->follows);
@@ -282,32 +282,32 @@
   }
   distribution::StateFeed feed;
   messages::Message const answer = feed.answer(TimePoint(Ms(1000)), &newest, *poll, {});
-  messages::News const* const news = std::get_if<messages::News>(&answer);
-  ASSERT_TRUE(news != nullptr && news->state);
+  messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&answer);
+  ASSERT_TRUE(response != nullptr && response->state);
   messages::State expected = newest;
   expected.receipts.clear();
-  EXPECT_EQ(*news->state, expected);
+  EXPECT_EQ(*response->state, expected);
   std::vector<distribution::Outgoing> const pushes = feed.push(TimePoint(Ms(1100)), newest, {});
   ASSERT_EQ(pushes.size(), 1u);
-  EXPECT_TRUE(std::get<messages::News>(pushes[0].message).state);
+  EXPECT_TRUE(std::get<messages::StateResponse>(pushes[0].message).state);
 }
 
 TEST(EarlierVersions, ANodeOfAnEarlierVersionReadsThePollAndItsWholeStateIsTaken) {
-  messages::Poll poll;
+  messages::StateRequest poll;
   poll.token = 9;
   poll.self = {"m1", "10.0.0.1:1", "z1", 4, 2};
   poll.parts = messages::PartVersions{4, 1, 3, 9};
   absl::StatusOr<EarlierPoll> const earlier =
-      messages::unpack<EarlierPoll>(messages::pack(poll), messages::schemaOf<messages::Poll>());
+      messages::unpack<EarlierPoll>(messages::pack(poll), messages::schemaOf<messages::StateRequest>());
   ASSERT_TRUE(earlier.ok());
   EXPECT_EQ(earlier->self.sequence, 2u);
   distribution::ConfigDelivery delivery({}, {"m1", "10.0.0.1:1", "z1", 0, 0}, 7, 1);
-  messages::News news;
-  news.state = RandomHistory(3).next();
-  news.epoch = news.state->epoch;
-  news.sequence = news.state->sequence;
-  EXPECT_TRUE(delivery.hear(TimePoint(Ms(1000)), "10.0.0.2:1", news).changed);
-  EXPECT_EQ(delivery.state()->version(), news.state->version());
+  messages::StateResponse response;
+  response.state = RandomHistory(3).next();
+  response.epoch = response.state->epoch;
+  response.sequence = response.state->sequence;
+  EXPECT_TRUE(delivery.onMessage(TimePoint(Ms(1000)), "10.0.0.2:1", response).changed);
+  EXPECT_EQ(delivery.state()->version(), response.state->version());
 }
 
 /// The time a gateway needs, from its start, until it has the newest version; `limit` if it takes longer.
--- a/tests/control_traffic_test.cpp
+++ b/tests/control_traffic_test.cpp
@@ -25,7 +25,7 @@
       fleet.run(Ms(25));
     }
     if (ticket && fleet.answers.contains(*ticket) &&
-        fleet.answers.at(*ticket).decided.verdict == control::Verdict::taken) {
+        fleet.answers.at(*ticket).decided.verdict == control::OrderStatus::taken) {
       return true;
     }
     fleet.run(Ms(200));
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -23,16 +23,16 @@
   return roads.answers.contains(ticket);
 }
 
-control::Verdict verdictOf(FleetSimulation& roads, std::optional<std::uint64_t> ticket) {
+control::OrderStatus verdictOf(FleetSimulation& roads, std::optional<std::uint64_t> ticket) {
   if (!ticket || !settle(roads, *ticket)) {
-    return control::Verdict::notRun;
+    return control::OrderStatus::notRun;
   }
   return roads.answers.at(*ticket).decided.verdict;
 }
 
-control::Verdict insist(FleetSimulation& roads, std::string const& id, std::uint64_t number) {
-  control::Verdict verdict = control::Verdict::notRun;
-  for (int round = 0; round < 60 && verdict != control::Verdict::taken; ++round) {
+control::OrderStatus insist(FleetSimulation& roads, std::string const& id, std::uint64_t number) {
+  control::OrderStatus verdict = control::OrderStatus::notRun;
+  for (int round = 0; round < 60 && verdict != control::OrderStatus::taken; ++round) {
     verdict = verdictOf(roads, roads.change(id, bodyOf(number)));
     roads.run(Ms(200));
   }
@@ -41,7 +41,7 @@
 
 bool startServing(FleetSimulation& roads, std::size_t gateways, Ms within = Ms(10'000)) {
   roads.startAll();
-  return insist(roads, "first", 1) == control::Verdict::taken && roads.awaitServing(gateways, within);
+  return insist(roads, "first", 1) == control::OrderStatus::taken && roads.awaitServing(gateways, within);
 }
 
 TEST(Delivery, AChangeIsEverywhereWhenItIsAcknowledged) {
@@ -49,7 +49,7 @@
   ASSERT_TRUE(startServing(roads, 8));
   std::optional<std::uint64_t> const ticket = roads.change("second", bodyOf(2));
   TimePoint const asked = roads.network.now();
-  ASSERT_EQ(verdictOf(roads, ticket), control::Verdict::taken);
+  ASSERT_EQ(verdictOf(roads, ticket), control::OrderStatus::taken);
   EXPECT_LT(roads.answers.at(*ticket).at - asked, Ms(1000));
   for (Machine const& machine : roads.machines) {
     if (machine.gateway) {
@@ -63,15 +63,15 @@
     for (int gapMs = 0; gapMs <= 40; gapMs += 4) {
       FleetSimulation roads(70 + static_cast<std::uint64_t>(gapMs), 3, 4, 2);
       roads.startAll();
-      ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken);
+      ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken);
       config::Version const base = roads.newestAcknowledged();
       std::optional<std::uint64_t> const one =
           roads.change(swapped ? "b" : "a", R"({"services":{"x":{}}})", base, true);
       roads.run(Ms(gapMs));
       std::optional<std::uint64_t> const two =
           roads.change(swapped ? "a" : "b", R"({"services":{"never":{}}})", base, true);
-      EXPECT_EQ(verdictOf(roads, one), control::Verdict::taken);
-      EXPECT_EQ(verdictOf(roads, two), control::Verdict::conflict);
+      EXPECT_EQ(verdictOf(roads, one), control::OrderStatus::taken);
+      EXPECT_EQ(verdictOf(roads, two), control::OrderStatus::conflict);
       roads.run(Ms(2000));
       for (Machine const& machine : roads.machines) {
         if (machine.gateway) {
@@ -85,12 +85,12 @@
 TEST(Delivery, ARepeatedChangeTakesEffectOnceAndIsToldAgain) {
   FleetSimulation roads(5, 3, 4, 2);
   roads.startAll();
-  ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken);
+  ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken);
   config::Version const before = roads.newestAcknowledged();
   std::optional<std::uint64_t> const again = roads.change("first", bodyOf(1));
-  EXPECT_EQ(verdictOf(roads, again), control::Verdict::taken);
+  EXPECT_EQ(verdictOf(roads, again), control::OrderStatus::taken);
   EXPECT_EQ(roads.answers.at(*again).decided.version, before);
-  EXPECT_EQ(verdictOf(roads, roads.change("first", bodyOf(9))), control::Verdict::refused);
+  EXPECT_EQ(verdictOf(roads, roads.change("first", bodyOf(9))), control::OrderStatus::refused);
 }
 
 std::string revised(std::uint64_t revision, std::string const& service) {
@@ -102,7 +102,7 @@
   return {0, id, {}, patch, body, roads.network.now() + Ms(8000), base, {}};
 }
 
-std::optional<control::ReadBack> readBack(FleetSimulation& roads, std::size_t index, Ms wait = Ms(900)) {
+std::optional<control::ConfigurationRead> readBack(FleetSimulation& roads, std::size_t index, Ms wait = Ms(900)) {
   std::uint64_t const ticket = roads.read(index, wait);
   roads.run(wait + Ms(50));
   return roads.readBacks.contains(ticket) ? std::optional(roads.readBacks.at(ticket)) : std::nullopt;
@@ -112,20 +112,20 @@
   FleetSimulation roads(61, 3, 4, 2);
   roads.startAll();
   roads.run(Ms(4000));
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 1, revised(2, "x")))), control::Verdict::conflict);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, revised(5, "x")))), control::Verdict::taken);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, revised(5, "x")))), control::Verdict::taken);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, revised(6, "y")))), control::Verdict::conflict);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, revised(5, "y")))), control::Verdict::refused);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, revised(4, "y")))), control::Verdict::refused);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 1, revised(2, "x")))), control::OrderStatus::conflict);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, revised(5, "x")))), control::OrderStatus::taken);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, revised(5, "x")))), control::OrderStatus::taken);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, revised(6, "y")))), control::OrderStatus::conflict);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, revised(5, "y")))), control::OrderStatus::refused);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, revised(4, "y")))), control::OrderStatus::refused);
   EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, "{\"revision\":9,\"services\":{\"z\":{}}}", true))),
-            control::Verdict::taken);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, revised(12, "w")))), control::Verdict::conflict);
-  std::optional<control::ReadBack> const back = readBack(roads, *roads.primary());
+            control::OrderStatus::taken);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 5, revised(12, "w")))), control::OrderStatus::conflict);
+  std::optional<control::ConfigurationRead> const back = readBack(roads, *roads.primary());
   ASSERT_TRUE(back);
   EXPECT_EQ(back->revision, 9u);
   EXPECT_EQ(back->document, R"({"revision":9,"services":{"x":{},"z":{}}})");
-  EXPECT_EQ(insist(roads, "without a revision", 3), control::Verdict::taken);
+  EXPECT_EQ(insist(roads, "without a revision", 3), control::OrderStatus::taken);
   EXPECT_EQ(roads.machines[*roads.primary()].controller->plane->published().revision, 9u);
 }
 
@@ -134,14 +134,14 @@
     for (int gapMs = 0; gapMs <= 40; gapMs += 4) {
       FleetSimulation roads(170 + static_cast<std::uint64_t>(gapMs), 3, 4, 2);
       roads.startAll();
-      ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken);
+      ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken);
       std::optional<std::uint64_t> const one = roads.change(onRevision(roads, 0, revised(swapped ? 7 : 8, "x")));
       roads.run(Ms(gapMs));
       std::optional<std::uint64_t> const two = roads.change(onRevision(roads, 0, revised(swapped ? 8 : 7, "never")));
       std::optional<std::uint64_t> const same = roads.change(onRevision(roads, 0, revised(swapped ? 7 : 8, "x")));
-      EXPECT_EQ(verdictOf(roads, one), control::Verdict::taken);
-      EXPECT_EQ(verdictOf(roads, two), control::Verdict::conflict);
-      EXPECT_EQ(verdictOf(roads, same), control::Verdict::taken);
+      EXPECT_EQ(verdictOf(roads, one), control::OrderStatus::taken);
+      EXPECT_EQ(verdictOf(roads, two), control::OrderStatus::conflict);
+      EXPECT_EQ(verdictOf(roads, same), control::OrderStatus::taken);
     }
   }
 }
@@ -163,28 +163,28 @@
   };
   roads.startAll();
   roads.run(Ms(4000));
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, "no"))), control::Verdict::refused);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, "#  1"))), control::Verdict::taken);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 4, "", true))), control::Verdict::refused);
-  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 4, " 2", true))), control::Verdict::taken);
-  std::optional<control::ReadBack> const back = readBack(roads, *roads.primary());
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, "no"))), control::OrderStatus::refused);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 0, "#  1"))), control::OrderStatus::taken);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 4, "", true))), control::OrderStatus::refused);
+  EXPECT_EQ(verdictOf(roads, roads.change(onRevision(roads, 4, " 2", true))), control::OrderStatus::taken);
+  std::optional<control::ConfigurationRead> const back = readBack(roads, *roads.primary());
   ASSERT_TRUE(back);
   EXPECT_EQ(back->document, "#  1 2");
   EXPECT_EQ(back->revision, 6u);
 }
 
-TEST(ReadBack, IsTheNewestTakenAlsoFromAPrimaryThatHasLostItsPlace) {
+TEST(ConfigurationRead, IsTheNewestTakenAlsoFromAPrimaryThatHasLostItsPlace) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     FleetSimulation roads(seed, 3, 4, 3);
     roads.startAll();
-    ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken) << seed;
+    ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken) << seed;
     std::size_t const old = *roads.primary();
     ASSERT_TRUE(readBack(roads, old)) << seed;
     roads.split({old});
     roads.run(Ms(static_cast<long>(roads.network.roll(1200))));
-    std::optional<control::ReadBack> const early = readBack(roads, old);
+    std::optional<control::ConfigurationRead> const early = readBack(roads, old);
     EXPECT_FALSE(early) << seed;
-    EXPECT_EQ(insist(roads, "second", 2), control::Verdict::taken) << seed;
+    EXPECT_EQ(insist(roads, "second", 2), control::OrderStatus::taken) << seed;
     EXPECT_FALSE(readBack(roads, old)) << seed;
     ASSERT_TRUE(roads.primary()) << seed;
     for (std::size_t index = 0; index < 3; ++index) {
@@ -204,9 +204,9 @@
   FleetSimulation roads(63, 3, 6, 3);
   ASSERT_TRUE(startServing(roads, 6));
   for (int round = 0; round < 2; ++round) {
-    ASSERT_EQ(verdictOf(roads, roads.order("z1", true)), control::Verdict::taken);
+    ASSERT_EQ(verdictOf(roads, roads.order("z1", true)), control::OrderStatus::taken);
   }
-  EXPECT_EQ(insist(roads, "whole", 5), control::Verdict::taken);
+  EXPECT_EQ(insist(roads, "whole", 5), control::OrderStatus::taken);
   for (Machine const& machine : roads.machines) {
     if (machine.gateway) {
       EXPECT_EQ(machine.gateway->delivery->state()->evacuatedZones, std::vector<std::string>{"z1"});
@@ -217,13 +217,13 @@
   EXPECT_EQ(control::evacuatedZones(roads.machines[*roads.primary()].controller->plane->published(), configuration),
             (std::set<std::string>{"z1", "z2"}));
   for (int round = 0; round < 2; ++round) {
-    ASSERT_EQ(verdictOf(roads, roads.order("z1", false)), control::Verdict::taken);
+    ASSERT_EQ(verdictOf(roads, roads.order("z1", false)), control::OrderStatus::taken);
   }
   EXPECT_TRUE(roads.machines[*roads.primary()].controller->plane->published().evacuatedZones.empty());
   for (int number = 0; number < 100; ++number) {
-    ASSERT_EQ(verdictOf(roads, roads.order("n" + std::to_string(number), true)), control::Verdict::taken) << number;
+    ASSERT_EQ(verdictOf(roads, roads.order("n" + std::to_string(number), true)), control::OrderStatus::taken) << number;
   }
-  EXPECT_EQ(verdictOf(roads, roads.order("one more", true)), control::Verdict::refused);
+  EXPECT_EQ(verdictOf(roads, roads.order("one more", true)), control::OrderStatus::refused);
   EXPECT_EQ(roads.complaints, std::vector<std::string>{});
 }
 
@@ -231,7 +231,7 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     FleetSimulation roads(seed, 3, 6, 3);
     ASSERT_TRUE(startServing(roads, 6)) << seed;
-    ASSERT_EQ(verdictOf(roads, roads.order("z1", true)), control::Verdict::taken) << seed;
+    ASSERT_EQ(verdictOf(roads, roads.order("z1", true)), control::OrderStatus::taken) << seed;
     std::size_t const lost = seed % 4 == 3 ? roads.machines.size() : seed % 4;
     for (std::size_t index = 0; index < roads.machines.size(); ++index) {
       roads.kill(index);
@@ -255,7 +255,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation roads(seed, 3, 4, 3);
     roads.startAll();
-    ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken) << seed;
+    ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken) << seed;
     std::size_t const old = *roads.primary();
     roads.split({old});
     std::vector<std::uint64_t> tickets;
@@ -267,15 +267,15 @@
     }
     roads.run(Ms(950));
     ASSERT_TRUE(roads.answers.contains(tickets[0]) && roads.answers.contains(tickets[1])) << seed;
-    EXPECT_EQ(roads.answers.at(tickets[0]).decided.verdict, control::Verdict::unknown);
-    EXPECT_EQ(roads.answers.at(tickets[1]).decided.verdict, control::Verdict::notRun);
+    EXPECT_EQ(roads.answers.at(tickets[0]).decided.verdict, control::OrderStatus::unknown);
+    EXPECT_EQ(roads.answers.at(tickets[1]).decided.verdict, control::OrderStatus::notRun);
     roads.run(Ms(400));
     std::uint64_t const late = roads.read(old, Ms(900));
     ASSERT_TRUE(roads.answers.contains(late)) << seed;
-    EXPECT_EQ(roads.answers.at(late).decided.verdict, control::Verdict::notRun);
+    EXPECT_EQ(roads.answers.at(late).decided.verdict, control::OrderStatus::notRun);
     roads.mendAll();
-    EXPECT_EQ(insist(roads, "a", 7), control::Verdict::taken) << seed;
-    EXPECT_EQ(insist(roads, "b", 7), control::Verdict::taken) << seed;
+    EXPECT_EQ(insist(roads, "a", 7), control::OrderStatus::taken) << seed;
+    EXPECT_EQ(insist(roads, "b", 7), control::OrderStatus::taken) << seed;
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
 }
@@ -290,11 +290,11 @@
     roads.run(Ms(100));
     ASSERT_EQ(roads.serving(), 8u) << round;
   }
-  EXPECT_GT(roads.upheld, 0u);
+  EXPECT_GT(roads.confirmedByMajority, 0u);
   for (std::size_t index = 0; index < 3; ++index) {
     roads.start(index);
   }
-  EXPECT_EQ(insist(roads, "second", 2), control::Verdict::taken);
+  EXPECT_EQ(insist(roads, "second", 2), control::OrderStatus::taken);
   EXPECT_TRUE(roads.complaints.empty());
 }
 
@@ -307,16 +307,16 @@
       side.insert(3 + index);
     }
     roads.split(side);
-    control::Verdict const verdict = verdictOf(roads, roads.change("second", bodyOf(2)));
+    control::OrderStatus const verdict = verdictOf(roads, roads.change("second", bodyOf(2)));
     roads.run(Ms(6000));
-    EXPECT_EQ(verdict, cutCount < 4 ? control::Verdict::taken : control::Verdict::unknown) << cutCount;
+    EXPECT_EQ(verdict, cutCount < 4 ? control::OrderStatus::taken : control::OrderStatus::unknown) << cutCount;
     std::size_t here = 0;
     for (std::size_t const index : side) {
       here += roads.serves(index) ? 1 : 0;
     }
     EXPECT_EQ(here, cutCount > 4 ? cutCount : 0u) << cutCount;
     roads.mendAll();
-    EXPECT_EQ(insist(roads, "second", 2), control::Verdict::taken);
+    EXPECT_EQ(insist(roads, "second", 2), control::OrderStatus::taken);
     EXPECT_TRUE(roads.awaitServing(8, Ms(5000)));
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << cutCount;
   }
@@ -328,7 +328,7 @@
   std::size_t const cutOff = 3;
   std::size_t const forgetful = 4;
   roads.split({cutOff});
-  ASSERT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::taken);
+  ASSERT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::taken);
   roads.kill(forgetful);
   roads.run(Ms(100));
   roads.mendAll();
@@ -362,7 +362,7 @@
     for (std::size_t const index : herd) {
       roads.kill(index);
     }
-    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::taken) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::taken) << seed;
     roads.run(Ms(4000));
     EXPECT_EQ(roads.machines[*roads.primary()].controller->plane->published().roster.size(), 4u) << seed;
     for (std::size_t const index : herd) {
@@ -370,7 +370,7 @@
       roads.start(index);
     }
     EXPECT_TRUE(roads.awaitServing(11, Ms(5000))) << seed;
-    EXPECT_EQ(insist(roads, "third", 3), control::Verdict::taken);
+    EXPECT_EQ(insist(roads, "third", 3), control::OrderStatus::taken);
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
 }
@@ -391,7 +391,7 @@
     for (std::size_t const index : herd) {
       roads.loseHost(index);
     }
-    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::taken) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::taken) << seed;
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
 }
@@ -403,13 +403,13 @@
     std::vector<std::string> names;
     for (std::size_t const index : herdOf(roads, 3, 11, 7)) {
       names.push_back(roads.machines[index].gateway->node);
-      EXPECT_EQ(verdictOf(roads, roads.forget({names.back()})), control::Verdict::refused);
+      EXPECT_EQ(verdictOf(roads, roads.forget({names.back()})), control::OrderStatus::refused);
       roads.loseHost(index);
     }
-    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::unknown) << seed;
-    EXPECT_EQ(verdictOf(roads, roads.forget({"nobody"})), control::Verdict::refused);
-    EXPECT_EQ(verdictOf(roads, roads.forget(names)), control::Verdict::taken) << seed;
-    EXPECT_EQ(verdictOf(roads, roads.change("third", bodyOf(3))), control::Verdict::taken) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::unknown) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.forget({"nobody"})), control::OrderStatus::refused);
+    EXPECT_EQ(verdictOf(roads, roads.forget(names)), control::OrderStatus::taken) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("third", bodyOf(3))), control::OrderStatus::taken) << seed;
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
 }
@@ -424,8 +424,8 @@
     for (std::size_t index = 0; index < killed; ++index) {
       roads.kill(herd[index]);
     }
-    control::Verdict const verdict = verdictOf(roads, roads.change("second", bodyOf(2)));
-    EXPECT_EQ(verdict, killed < 2 ? control::Verdict::unknown : control::Verdict::taken) << seed;
+    control::OrderStatus const verdict = verdictOf(roads, roads.change("second", bodyOf(2)));
+    EXPECT_EQ(verdict, killed < 2 ? control::OrderStatus::unknown : control::OrderStatus::taken) << seed;
     roads.run(Ms(3000));
     for (std::size_t index = 0; index < killed; ++index) {
       roads.start(herd[index]);
@@ -434,13 +434,13 @@
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
     roads.mendAll();
     EXPECT_TRUE(roads.awaitServing(11, Ms(5000))) << seed;
-    EXPECT_EQ(insist(roads, "third", 3), control::Verdict::taken);
+    EXPECT_EQ(insist(roads, "third", 3), control::OrderStatus::taken);
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
 }
 
 TEST(Herd, ADeathProvedBeforeAChangeSaysNothingAboutIt) {
-  std::size_t upheld = 0;
+  std::size_t confirmedByMajority = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation roads(seed, 3, 11, 4);
     ASSERT_TRUE(startServing(roads, 11));
@@ -455,14 +455,14 @@
     ASSERT_TRUE(roads.awaitServing(11, Ms(5000))) << seed;
     roads.run(Ms(800));
     roads.split({herd.begin(), herd.end()});
-    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::unknown) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::unknown) << seed;
     roads.run(Ms(2500));
     for (std::size_t const index : herd) {
-      upheld += roads.serves(index) ? 1 : 0;
+      confirmedByMajority += roads.serves(index) ? 1 : 0;
     }
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
-  EXPECT_GT(upheld, 100u);
+  EXPECT_GT(confirmedByMajority, 100u);
 }
 
 TEST(Cost, InCalmThreeMastersAndTenNodesInThreeZonesSendLittleAcrossZones) {
@@ -490,7 +490,7 @@
     for (std::size_t index = 0; index < 6; ++index) {
       roads.start(index);
     }
-    ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken);
+    ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken);
     ASSERT_TRUE(roads.awaitServing(3, Ms(10'000)));
     std::size_t const lonely = 3 + roads.network.roll(3);
     std::set<std::size_t> side{3, 4, 5};
@@ -501,14 +501,14 @@
     }
     roads.run(Ms(1500));
     EXPECT_GT(roads.machines[*roads.primary()].controller->plane->published().roster.size(), 3u);
-    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::unknown) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::unknown) << seed;
     roads.run(Ms(3000));
     for (std::size_t const index : side) {
       EXPECT_TRUE(roads.serves(index)) << seed;
     }
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
     roads.mendAll();
-    EXPECT_EQ(insist(roads, "third", 3), control::Verdict::taken);
+    EXPECT_EQ(insist(roads, "third", 3), control::OrderStatus::taken);
     EXPECT_TRUE(roads.awaitServing(9, Ms(5000))) << seed;
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
@@ -528,7 +528,7 @@
         }
         std::string const name = "lost" + std::to_string(zone);
         TimePoint const began = roads.network.now();
-        EXPECT_EQ(insist(roads, name, 10 + zone), control::Verdict::taken) << seed << " zone " << zone;
+        EXPECT_EQ(insist(roads, name, 10 + zone), control::OrderStatus::taken) << seed << " zone " << zone;
         EXPECT_LT(roads.network.now() - began, Ms(5000)) << seed << " zone " << zone;
         EXPECT_EQ(roads.serving(), 12 - zones - lost) << seed << " zone " << zone;
         roads.run(Ms(6000));
@@ -576,7 +576,7 @@
           EXPECT_GE(machine.gateway->version, before);
         }
       }
-      EXPECT_EQ(insist(roads, "after", 3), control::Verdict::taken);
+      EXPECT_EQ(insist(roads, "after", 3), control::OrderStatus::taken);
       EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
     }
   }
@@ -627,7 +627,7 @@
       for (std::size_t index = 4; index < count + 4; index += 4) {
         names.push_back(roads.machines[index].gateway->node);
       }
-      std::string const home = distribution::rankHomes("configuration/z0", names).front();
+      std::string const home = distribution::rankByRendezvousHash("configuration/z0", names).front();
       for (std::size_t index = 4; index < count + 4; ++index) {
         if (roads.machines[index].gateway->node == home) {
           roads.loseHost(index);
@@ -646,7 +646,7 @@
       oldestAge.push_back(oldest.count());
       began = roads.network.now();
       roads.loseHost(*roads.primary());
-      EXPECT_EQ(insist(roads, "second", 2), control::Verdict::taken);
+      EXPECT_EQ(insist(roads, "second", 2), control::OrderStatus::taken);
       changeAgain.push_back(std::chrono::duration_cast<Ms>(roads.network.now() - began).count() - 200);
       EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
     }
@@ -669,9 +669,9 @@
     ASSERT_TRUE(startServing(roads, 8));
     std::size_t const failed = *roads.primary();
     roads.machines[failed].controller->diskFails = true;
-    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::unknown) << seed;
+    EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::unknown) << seed;
     TimePoint const began = roads.network.now();
-    EXPECT_EQ(insist(roads, "second", 2), control::Verdict::taken) << seed;
+    EXPECT_EQ(insist(roads, "second", 2), control::OrderStatus::taken) << seed;
     EXPECT_LT(roads.network.now() - began, Ms(4000)) << seed;
     roads.run(Ms(1000));
     for (int round = 0; round < 20; ++round) {
@@ -703,7 +703,7 @@
     for (std::size_t index = 0; index < 3; ++index) {
       roads.start(index);
     }
-    EXPECT_EQ(insist(roads, "second", 2), control::Verdict::taken);
+    EXPECT_EQ(insist(roads, "second", 2), control::OrderStatus::taken);
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
 }
@@ -742,7 +742,7 @@
     roads.cut(forgetful, other);
     roads.run(Ms(7000));
     bool const taken =
-        roads.answers.contains(*ticket) && roads.answers.at(*ticket).decided.verdict == control::Verdict::taken;
+        roads.answers.contains(*ticket) && roads.answers.at(*ticket).decided.verdict == control::OrderStatus::taken;
     acknowledged += taken ? 1 : 0;
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << seed;
   }
@@ -768,7 +768,7 @@
         worst = std::min(worst, roads.serving());
       }
       EXPECT_EQ(worst, 7u) << victim;
-      EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::Verdict::taken);
+      EXPECT_EQ(verdictOf(roads, roads.change("second", bodyOf(2))), control::OrderStatus::taken);
       roads.run(Ms(4000));
       if (frozen) {
         roads.thaw(victim);
@@ -784,13 +784,13 @@
 TEST(Delivery, SeededStormsNeverServeAnOldConfiguration) {
   std::size_t taken = 0;
   std::size_t unknown = 0;
-  std::size_t upheld = 0;
+  std::size_t confirmedByMajority = 0;
   std::size_t replacements = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::size_t const controllers = 3 + seed % 2;
     FleetSimulation roads(seed, controllers, 7, 3);
     roads.startAll();
-    ASSERT_EQ(insist(roads, "first", 1), control::Verdict::taken) << seed;
+    ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken) << seed;
     std::vector<std::uint64_t> tickets;
     std::set<std::size_t> leaving;
     for (int round = 0; round < 250; ++round) {
@@ -873,19 +873,19 @@
       }
       roads.thaw(index);
     }
-    EXPECT_EQ(insist(roads, "last", 7), control::Verdict::taken) << seed;
+    EXPECT_EQ(insist(roads, "last", 7), control::OrderStatus::taken) << seed;
     EXPECT_TRUE(roads.awaitServing(7, Ms(10'000))) << seed << roads.picture();
     EXPECT_EQ(roads.complaints, std::vector<std::string>{}) << "seed " << seed;
     for (std::uint64_t const ticket : tickets) {
       if (roads.answers.contains(ticket)) {
-        taken += roads.answers.at(ticket).decided.verdict == control::Verdict::taken ? 1 : 0;
-        unknown += roads.answers.at(ticket).decided.verdict == control::Verdict::unknown ? 1 : 0;
+        taken += roads.answers.at(ticket).decided.verdict == control::OrderStatus::taken ? 1 : 0;
+        unknown += roads.answers.at(ticket).decided.verdict == control::OrderStatus::unknown ? 1 : 0;
       }
     }
-    upheld += roads.upheld;
+    confirmedByMajority += roads.confirmedByMajority;
   }
   std::printf("seeds 1 to 60: %zu changes taken, %zu unknown, %zu nodes replaced, %zu looks at upheld nodes\n", taken,
-              unknown, replacements, upheld);
+              unknown, replacements, confirmedByMajority);
   EXPECT_GT(taken, 500u);
   EXPECT_GT(unknown, 50u);
 }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -95,11 +95,11 @@
           if (!nodes[to].up) {
             return;
           }
-          if (messages::TablePoll const* const poll = std::get_if<messages::TablePoll>(&message)) {
-            follow(to, nodes[to].desk->hear(network.now(), nodes[index].address, *poll));
+          if (messages::TableRequest const* const poll = std::get_if<messages::TableRequest>(&message)) {
+            follow(to, nodes[to].desk->onMessage(network.now(), nodes[index].address, *poll));
           } else {
-            follow(to,
-                   nodes[to].desk->hear(network.now(), nodes[index].address, std::get<messages::TableNews>(message)));
+            follow(to, nodes[to].desk->onMessage(network.now(), nodes[index].address,
+                                                 std::get<messages::TableResponse>(message)));
           }
         });
       }
@@ -204,7 +204,7 @@
     for (Node const& node : zone.nodes) {
       addresses.push_back(node.address);
     }
-    std::string const reader = distribution::rankHomes("list/z1", addresses).front();
+    std::string const reader = distribution::rankByRendezvousHash("list/z1", addresses).front();
     Ms const diesMs(static_cast<long>(zone.network.roll(800)));
     zone.network.after(diesMs, [&] {
       for (Node& node : zone.nodes) {
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -437,7 +437,7 @@
       bench.bad(bench.sent.back().attempt, retry::Verdict::notRun);
     }
     EXPECT_EQ(bench.finished.back().ending, Ending::refused);
-    EXPECT_EQ(bench.sent.size(), 2u + retry::Ledger::mostUnreached + 1);
+    EXPECT_EQ(bench.sent.size(), 2u + retry::Ledger::maxUnreached + 1);
   }
 }
 
@@ -668,8 +668,8 @@
     EXPECT_EQ(finish.ending, Ending::refused);
     EXPECT_EQ(finish.verdict, retry::Verdict::notRun);
     ASSERT_TRUE(finish.retryAfter.has_value());
-    EXPECT_GE(*finish.retryAfter, policy.retryLeastMs);
-    EXPECT_LE(*finish.retryAfter, policy.retryMostMs);
+    EXPECT_GE(*finish.retryAfter, policy.retryMinMs);
+    EXPECT_LE(*finish.retryAfter, policy.retryMaxMs);
     EXPECT_NE(finish.request, 1u);
   }
 }
--- a/tests/explorer_test.cpp
+++ b/tests/explorer_test.cpp
@@ -23,10 +23,10 @@
 }
 
 ReplicationGroup startedMember(TimePoint now, std::uint64_t seed) {
-  ReplicationGroup group(replication::policyFor(1));
+  ReplicationGroup group(replication::optionsFor(1));
   group.step(now, replication::Start{threeMembers()[0], {}, seed, false, {"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}});
   group.step(now, replication::KnownMembers{threeMembers(), true});
-  group.step(now, replication::Received{"b", "10.0.0.2:1", messages::Heartbeat{{}, 7, 0, false, 0}});
+  group.step(now, replication::MessageReceived{"b", "10.0.0.2:1", messages::Heartbeat{{}, 7, 0, false, 0}});
   return group;
 }
 
@@ -35,7 +35,7 @@
   ReplicationGroup original = startedMember(now, 1);
   ReplicationGroup copy = original;
   EXPECT_EQ(copy.digest(now), original.digest(now));
-  std::vector<replication::Effect> const effects = copy.step(now + Ms(400), replication::Tick{});
+  std::vector<replication::GroupEffect> const effects = copy.step(now + Ms(400), replication::Tick{});
   EXPECT_FALSE(effects.empty());
   EXPECT_NE(copy.digest(now + Ms(400)), original.digest(now + Ms(400)));
   EXPECT_EQ(original.step(now + Ms(400), replication::Tick{}).size(), effects.size());
@@ -84,7 +84,7 @@
 
 TEST_P(Search, NoReachableStateBreaksAnInvariant) {
   Scenario const scenario = named(searchScenarios(), GetParam());
-  SearchReport const report = searchAll(scenario.start, {.mostStates = 60'000, .recoverEvery = 500});
+  SearchReport const report = searchAll(scenario.start, {.maxStates = 60'000, .recoverEvery = 500});
   std::printf("%zu states, %zu transitions, depth %zu, %zu recoveries\n", report.states, report.transitions,
               report.depth, report.recoveries);
   EXPECT_GT(report.states, 10'000u);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -276,7 +276,7 @@
   EXPECT_GT(worst, 0.5);
 }
 
-std::size_t mostInASecond(std::vector<TimePoint> const& times) {
+std::size_t maxInASecond(std::vector<TimePoint> const& times) {
   std::size_t most = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < times.size(); ++last) {
@@ -335,7 +335,7 @@
           }
           fleet.load(200, Ms(400 + static_cast<long>(fleet.network.roll(6000))), {"p0"}, 1, Ms(400));
         }
-        most = std::max(most, mostInASecond(fleet.services["p0"]["p0-0"].arrivals));
+        most = std::max(most, maxInASecond(fleet.services["p0"]["p0-0"].arrivals));
       }
     }
     std::printf(
--- a/tests/foreign_test.cpp
+++ b/tests/foreign_test.cpp
@@ -411,8 +411,8 @@
 
 TEST(Foreign, WhatMayNotBeRepeatedIsSentAgainOnlyOnProofThatItDidNotRun) {
   std::size_t again = 0;
-  std::size_t promised = 0;
-  std::size_t doubtful = 0;
+  std::size_t promisedBallot = 0;
+  std::size_t outcomeUnknown = 0;
   for (unsigned seed = 1; seed <= 400; ++seed) {
     std::mt19937 random(seed);
     Node node;
@@ -441,10 +441,10 @@
         Reply const& reply = node.replies[told];
         std::string const id = idOf[reply.request];
         bool const promise = headerOf(reply, "x-verdict") == "not_run";
-        promised += promise ? 1 : 0;
+        promisedBallot += promise ? 1 : 0;
         for (std::uint64_t const attempt : attempts[id]) {
           ASSERT_TRUE(!promise || provedUnrun[attempt]) << "seed " << seed << " " << id;
-          doubtful += promise || provedUnrun[attempt] ? 0 : 1;
+          outcomeUnknown += promise || provedUnrun[attempt] ? 0 : 1;
         }
       }
       if (!node.sent.empty()) {
@@ -466,10 +466,11 @@
       node.pass(Ms(random() % 40));
     }
   }
-  std::printf("seeds 1 to 400: %zu sent again on proof, %zu promises, %zu left in doubt\n", again, promised, doubtful);
+  std::printf("seeds 1 to 400: %zu sent again on proof, %zu promises, %zu left in doubt\n", again, promisedBallot,
+              outcomeUnknown);
   EXPECT_GT(again, 100u);
-  EXPECT_GT(promised, 20u);
-  EXPECT_GT(doubtful, 100u);
+  EXPECT_GT(promisedBallot, 20u);
+  EXPECT_GT(outcomeUnknown, 100u);
 }
 
 TEST(Foreign, WhatMayBeRepeatedIsAskedElsewhereAfterAFailure) {
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -259,14 +259,15 @@
   Random random(7);
   replication::TimePoint const now{std::chrono::hours(1)};
   std::map<std::string, std::string> disk;
-  replication::ReplicationGroup first{replication::Policy{}};
+  replication::ReplicationGroup first{replication::ReplicationOptions{}};
   first.step(now, replication::Start{{"h0", "127.0.0.1:1", "z1"}, {}, 1});
   messages::State state;
   state.epoch = 3;
   state.document = document;
-  for (replication::Effect const& effect : first.step(
-           now, replication::Received{"h1", "127.0.0.2:1",
-                                      messages::Sync{{3, "f", "h1", {"h0"}, {"h0", "h1", "h2"}}, 5, false, state}})) {
+  for (replication::GroupEffect const& effect : first.step(
+           now,
+           replication::MessageReceived{"h1", "127.0.0.2:1",
+                                        messages::Sync{{3, "f", "h1", {"h0"}, {"h0", "h1", "h2"}}, 5, false, state}})) {
     if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
       for (std::pair<std::string, std::string> const& put : persist->puts) {
         disk[put.first] = put.second;
@@ -281,20 +282,20 @@
         std::next(spoilt.begin(), static_cast<long>(random() % spoilt.size()));
     victim->second = random() % 2 == 0 ? bytesSpoilt(random, victim->second)
                                        : victim->second.substr(0, random() % (victim->second.size() + 1));
-    replication::ReplicationGroup group{replication::Policy{}};
-    std::vector<replication::Effect> const effects =
+    replication::ReplicationGroup group{replication::ReplicationOptions{}};
+    std::vector<replication::GroupEffect> const effects =
         group.step(now, replication::Start{{"h0", "127.0.0.1:1", "z1"}, spoilt, 2});
-    if (!group.ailing()) {
+    if (!group.unhealthy()) {
       continue;
     }
     ++broken;
-    EXPECT_TRUE(std::any_of(effects.begin(), effects.end(), [](replication::Effect const& effect) {
+    EXPECT_TRUE(std::any_of(effects.begin(), effects.end(), [](replication::GroupEffect const& effect) {
       replication::LogEntry const* const note = std::get_if<replication::LogEntry>(&effect);
       return note != nullptr && note->event == logging::Event::diskDamaged;
     }));
-    for (replication::Effect const& effect : group.step(
-             now, replication::Received{"h1", "127.0.0.2:1",
-                                        messages::Prepare{{3, "f", "h1", {"h0"}, {"h0", "h1", "h2"}}, {9, "h1"}}})) {
+    for (replication::GroupEffect const& effect : group.step(
+             now, replication::MessageReceived{
+                      "h1", "127.0.0.2:1", messages::Prepare{{3, "f", "h1", {"h0"}, {"h0", "h1", "h2"}}, {9, "h1"}}})) {
       EXPECT_FALSE(std::holds_alternative<replication::Send>(effect));
       EXPECT_FALSE(std::holds_alternative<replication::Persist>(effect));
     }
--- a/tests/http_adversary_test.cpp
+++ b/tests/http_adversary_test.cpp
@@ -208,9 +208,9 @@
       network_.post([this] { next(); });
     }
     left_.wait();
-    std::promise<void> settled;
-    network_.post([&] { settled.set_value(); });
-    settled.get_future().wait();
+    std::promise<void> caughtUp;
+    network_.post([&] { caughtUp.set_value(); });
+    caughtUp.get_future().wait();
     check();
     return std::move(outcome_);
   }
@@ -241,12 +241,12 @@
     Clock::time_point const deadline = Clock::now() + (random_() % 100 == 0 ? Ms(random_() % 3) : patienceMs);
     client_.begin(attempt, servers_[random_() % servers_.size()]->address(), std::move(request), deadline,
                   [this, id, plan](Exchange const& exchange) {
-                    hear(id, plan, exchange);
+                    onMessage(id, plan, exchange);
                     next();
                   });
   }
 
-  void hear(std::string const& id, Plan const& plan, Exchange const& exchange) {
+  void onMessage(std::string const& id, Plan const& plan, Exchange const& exchange) {
     if (!heard_.insert(id).second) {
       outcome_.wrong.push_back(id + " was answered twice");
     }
--- a/tests/incarnations_test.cpp
+++ b/tests/incarnations_test.cpp
@@ -48,8 +48,8 @@
 constexpr char const* homeAddress = "10.0.0.1:7080";
 constexpr char const* primaryAddress = "10.0.0.9:7080";
 
-messages::Poll pollOfFollower(std::uint64_t digest, std::vector<messages::IncarnationRecord> const& records) {
-  messages::Poll poll;
+messages::StateRequest pollOfFollower(std::uint64_t digest, std::vector<messages::IncarnationRecord> const& records) {
+  messages::StateRequest poll;
   poll.token = 1;
   poll.self = {"follower", "10.0.0.2:7080", "zone", 4, 9};
   poll.peerStatuses.push_back({"follower", 22, false, records});
@@ -57,10 +57,10 @@
   return poll;
 }
 
-messages::Poll const* reportTo(ConfigDeliveryStep const& step, std::string const& address) {
+messages::StateRequest const* reportTo(ConfigDeliveryStep const& step, std::string const& address) {
   for (distribution::Outgoing const& outgoing : step.sends) {
     if (outgoing.address == address) {
-      return std::get_if<messages::Poll>(&outgoing.message);
+      return std::get_if<messages::StateRequest>(&outgoing.message);
     }
   }
   return nullptr;
@@ -72,15 +72,15 @@
   std::vector<messages::Peer> const peers{{"primary", primaryAddress, "zone", messages::controllerRole, 9, 0}};
   IncarnationRecords const sender = recordsOf({{"other", 1, 1}});
   home.tick(now, peers);
-  home.hear(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), {}));
+  home.onMessage(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), {}));
   now += std::chrono::seconds(1);
-  messages::Poll const* report = nullptr;
+  messages::StateRequest const* report = nullptr;
   ConfigDeliveryStep const first = home.tick(now, peers);
   report = reportTo(first, primaryAddress);
   ASSERT_NE(report, nullptr);
   ASSERT_EQ(report->followers.size(), 1u);
   EXPECT_EQ(report->followers.front().sequence, 0u);
-  home.hear(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), sender.list()));
+  home.onMessage(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), sender.list()));
   now += std::chrono::seconds(1);
   ConfigDeliveryStep const second = home.tick(now, peers);
   report = reportTo(second, primaryAddress);
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -19,18 +19,18 @@
 
 TEST(Messages, MessagesComeBackWhole) {
   PeerMessage const received = sample();
-  absl::StatusOr<PeerMessage> const back = unseal(seal(received));
+  absl::StatusOr<PeerMessage> const back = decodeEnvelope(encodeEnvelope(received));
   ASSERT_TRUE(back.ok()) << back.status();
   EXPECT_EQ(back->from, "a");
   Sync const& sync = std::get<Sync>(back->message);
   EXPECT_EQ(sync.decided, std::get<Sync>(received.message).decided);
   EXPECT_EQ(sync.state, std::get<Sync>(received.message).state);
-  News news;
-  news.state = State{};
-  news.state->sequence = 12;
-  absl::StatusOr<PeerMessage> const second = unseal(seal({"f", "n", "x", news}));
+  StateResponse response;
+  response.state = State{};
+  response.state->sequence = 12;
+  absl::StatusOr<PeerMessage> const second = decodeEnvelope(encodeEnvelope({"f", "n", "x", response}));
   ASSERT_TRUE(second.ok());
-  EXPECT_EQ(std::get<News>(second->message).state->sequence, 12u);
+  EXPECT_EQ(std::get<StateResponse>(second->message).state->sequence, 12u);
 }
 
 struct Older {
@@ -95,16 +95,16 @@
   older.self = {"m01", "127.0.0.1:1", 3, true};
   older.followers = {{"m02", "127.0.0.1:2", 4, false}, {"m03", "127.0.0.1:3", 5, true}};
   absl::StatusOr<PeerMessage> const back =
-      unseal(enclose(pack(envelopeOf("Poll", pack(older), schemaOf<OlderPoll>()))));
+      decodeEnvelope(withChecksum(pack(envelopeOf("Poll", pack(older), schemaOf<OlderPoll>()))));
   ASSERT_TRUE(back.ok()) << back.status();
-  Poll const& poll = std::get<Poll>(back->message);
+  StateRequest const& poll = std::get<StateRequest>(back->message);
   EXPECT_EQ(poll.token, 7u);
   EXPECT_EQ(poll.self.address, "127.0.0.1:1");
   EXPECT_EQ(poll.self.zone, "");
   ASSERT_EQ(poll.followers.size(), 2u);
   EXPECT_EQ(poll.followers[1].node, "m03");
   EXPECT_EQ(poll.followers[1].epoch, 5u);
-  absl::StatusOr<OlderPoll> const reverse = unpack<OlderPoll>(pack(poll), schemaOf<Poll>());
+  absl::StatusOr<OlderPoll> const reverse = unpack<OlderPoll>(pack(poll), schemaOf<StateRequest>());
   ASSERT_TRUE(reverse.ok());
   EXPECT_EQ(reverse->followers[0].address, "127.0.0.1:2");
   EXPECT_FALSE(reverse->self.gone);
@@ -113,15 +113,15 @@
 TEST(Versions, AnEnvelopeFromBeforeSchemasWereSentIsRead) {
   Heartbeat heartbeat;
   heartbeat.token = 41;
-  heartbeat.ailing = true;
+  heartbeat.unhealthy = true;
   FirstEnvelope first;
   first.fleet = "f";
   first.kind = "Hail";
   first.body = pack(heartbeat);
-  absl::StatusOr<PeerMessage> const back = unseal(enclose(pack(first)));
+  absl::StatusOr<PeerMessage> const back = decodeEnvelope(withChecksum(pack(first)));
   ASSERT_TRUE(back.ok()) << back.status();
   EXPECT_EQ(std::get<Heartbeat>(back->message).token, 41u);
-  EXPECT_TRUE(std::get<Heartbeat>(back->message).ailing);
+  EXPECT_TRUE(std::get<Heartbeat>(back->message).unhealthy);
 }
 
 TEST(Versions, SchemasThatDoNotFitOrHaveNoBoundAreRefused) {
@@ -140,7 +140,8 @@
        std::string(R"({"type":"record","name":"Poll","fields":[]})"), std::string("[\"long\"]"),
        std::string("nonsense"),
        "{\"type\":\"record\",\"name\":\"Poll\",\"fields\":[{\"name\":\"followers\",\"type\":" + nested + "}]}"}) {
-    EXPECT_FALSE(unseal(enclose(pack(envelopeOf("Poll", std::string(40, '\x02'), schema)))).ok()) << schema;
+    EXPECT_FALSE(decodeEnvelope(withChecksum(pack(envelopeOf("Poll", std::string(40, '\x02'), schema)))).ok())
+        << schema;
   }
 }
 
@@ -160,9 +161,9 @@
 }
 
 TEST(Messages, SpoiltBytesAreRefusedAndNeverCrash) {
-  std::string const whole = seal(sample());
+  std::string const whole = encodeEnvelope(sample());
   for (std::size_t length = 0; length < whole.size(); ++length) {
-    EXPECT_FALSE(unseal(std::string_view(whole).substr(0, length)).ok()) << length;
+    EXPECT_FALSE(decodeEnvelope(std::string_view(whole).substr(0, length)).ok()) << length;
   }
   std::mt19937_64 random(11);
   std::size_t refused = 0;
@@ -174,7 +175,7 @@
     if (spoilt == whole) {
       spoilt.pop_back();
     }
-    refused += unseal(spoilt).ok() ? 0 : 1;
+    refused += decodeEnvelope(spoilt).ok() ? 0 : 1;
   }
   EXPECT_EQ(refused, 20'000u);
 }
--- a/tests/node_tracker_test.cpp
+++ b/tests/node_tracker_test.cpp
@@ -19,7 +19,7 @@
 messages::PeerStatus startedAs(std::uint64_t boot) { return {"node", boot, false, {}}; }
 
 TEST(NodeTracker, WhatAnEarlierStartConfirmedIsForgotten) {
-  NodeTracker tracker{control::Policy{}};
+  NodeTracker tracker{control::ConfigServiceOptions{}};
   TimePoint const now{std::chrono::hours(1)};
   tracker.report(now, followerAt("10.0.0.1:7080", wanted), startedAs(11), true);
   ASSERT_TRUE(tracker.confirmed("node", wanted, epoch));
@@ -28,7 +28,7 @@
 }
 
 TEST(NodeTracker, WhatWasConfirmedAtAnotherAddressIsForgotten) {
-  NodeTracker tracker{control::Policy{}};
+  NodeTracker tracker{control::ConfigServiceOptions{}};
   TimePoint const now{std::chrono::hours(1)};
   tracker.report(now, followerAt("10.0.0.1:7080", wanted), startedAs(11), true);
   tracker.report(now + std::chrono::seconds(5), followerAt("10.0.0.2:7080", {0, 0}), startedAs(11), true);
@@ -36,7 +36,7 @@
 }
 
 TEST(NodeTracker, ANameHeardAtTwoAddressesAtOnceKeepsTheFirst) {
-  NodeTracker tracker{control::Policy{}};
+  NodeTracker tracker{control::ConfigServiceOptions{}};
   TimePoint const now{std::chrono::hours(1)};
   ASSERT_TRUE(tracker.report(now, followerAt("10.0.0.1:7080", {0, 0}), startedAs(11), true));
   EXPECT_FALSE(tracker.report(now, followerAt("10.0.0.2:7080", wanted), startedAs(12), true));
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -122,13 +122,13 @@
       fleet.submit(primary, order);
     }
     tickets.push_back(fleet.nextTicket());
-    fleet.submit(primary, control::Forget{tickets.back(), {"nobody"}, fleet.network.now() + callMs});
+    fleet.submit(primary, control::RemoveNodes{tickets.back(), {"nobody"}, fleet.network.now() + callMs});
     fleet.run(callMs + Ms(50));
     EXPECT_FALSE(fleet.readBacks.contains(read)) << seed;
     for (std::uint64_t const ticket : tickets) {
       ASSERT_TRUE(fleet.answers.contains(ticket)) << seed << " " << ticket - read;
-      control::Verdict const verdict = fleet.answers.at(ticket).decided.verdict;
-      EXPECT_TRUE(verdict == control::Verdict::notRun || verdict == control::Verdict::unknown)
+      control::OrderStatus const verdict = fleet.answers.at(ticket).decided.verdict;
+      EXPECT_TRUE(verdict == control::OrderStatus::notRun || verdict == control::OrderStatus::unknown)
           << seed << " " << ticket - read << " " << static_cast<int>(verdict);
     }
   }
@@ -297,7 +297,7 @@
   bool toPrimary = false;
 };
 
-enum class Trouble { none, killPrimary, cutPrimary, retirePrimary };
+enum class Trouble { none, killPrimary, cutPrimary, shutDownPrimary };
 
 void makeTrouble(FleetSimulation& fleet, std::size_t primary, Trouble trouble) {
   switch (trouble) {
@@ -309,8 +309,8 @@
     case Trouble::cutPrimary:
       fleet.split({primary});
       return;
-    case Trouble::retirePrimary:
-      fleet.retire(primary);
+    case Trouble::shutDownPrimary:
+      fleet.beginShutdown(primary);
       return;
   }
 }
@@ -365,7 +365,7 @@
       }
       runTwoOperators(sendings, Trouble::none, 0);
       ++trials;
-      for (Trouble const trouble : {Trouble::killPrimary, Trouble::cutPrimary, Trouble::retirePrimary}) {
+      for (Trouble const trouble : {Trouble::killPrimary, Trouble::cutPrimary, Trouble::shutDownPrimary}) {
         for (std::size_t place = 1; place <= senders.size(); ++place) {
           runTwoOperators(sendings, trouble, place);
           ++trials;
@@ -441,7 +441,7 @@
     case Aftermath::calm:
       break;
     case Aftermath::handOver:
-      fleet.retire(primary);
+      fleet.beginShutdown(primary);
       fleet.run(Ms(3000));
       fleet.kill(primary);
       ASSERT_NE(fleet.primary(), std::optional<std::size_t>(primary));
@@ -508,11 +508,11 @@
     for (char const* const name : {"a", "b", "c"}) {
       submit(orderOn(4, 7, name));
     }
-    fleet.retire(leaving);
+    fleet.beginShutdown(leaving);
     submit(orderOn(4, 7, "d"));
     for (std::size_t index = 1; index < tickets.size(); ++index) {
       ASSERT_TRUE(fleet.answers.contains(tickets[index])) << seed << " " << index;
-      EXPECT_EQ(fleet.answers.at(tickets[index]).decided.verdict, control::Verdict::notRun) << seed << " " << index;
+      EXPECT_EQ(fleet.answers.at(tickets[index]).decided.verdict, control::OrderStatus::notRun) << seed << " " << index;
     }
     TimePoint const began = fleet.network.now();
     std::size_t const next = (leaving + 1) % controllers;
@@ -532,7 +532,7 @@
     fleet.run(Ms(2000));
     std::size_t const leaving = *fleet.primary();
     std::uint64_t const before = fleet.machines[leaving].controller->group->state().sequence;
-    fleet.submitToGroup(leaving, replication::Retire{});
+    fleet.submitToGroup(leaving, replication::BeginShutdown{});
     std::size_t const call = operators.call({leaving, orderOn(4, 7, "late")}, callMs);
     fleet.run(Ms(5));
     EXPECT_EQ(fleet.machines[leaving].controller->group->state().sequence, before) << seed;
@@ -552,7 +552,7 @@
   state.configurationEpoch = 3;
   state.configurationSequence = state.sequence;
   state.revision = revision;
-  control::addReceipt(state, change, revision, control::Policy{}.mostReceipts);
+  control::addReceipt(state, change, revision, control::ConfigServiceOptions{}.maxReceipts);
   return state;
 }
 
@@ -565,7 +565,7 @@
   }
   std::size_t const bytes = messages::pack(state).size() - empty;
   std::printf("600 changes with keys of 123 bytes: receipts take %zu bytes\n", bytes);
-  EXPECT_EQ(state.receipts.size(), control::Policy{}.mostReceipts);
+  EXPECT_EQ(state.receipts.size(), control::ConfigServiceOptions{}.maxReceipts);
   EXPECT_LT(bytes, 256U * 36);
 }
 
@@ -581,42 +581,42 @@
 
 TEST(Receipts, ThatWereDroppedLeaveNoRefusalBehind) {
   messages::State state;
-  std::size_t const most = control::Policy{}.mostReceipts;
+  std::size_t const most = control::ConfigServiceOptions{}.maxReceipts;
   for (std::uint64_t number = 1; number <= most + 2; ++number) {
     state = takenOn(state, keyed("c" + std::to_string(number), "{}"), 10 * number);
   }
-  control::OrderEvaluator const evaluator(control::Policy{}, config::ownLanguage());
-  std::function<control::Verdict(control::Change const&)> const verdictOf = [&](control::Change const& change) {
+  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::ownLanguage());
+  std::function<control::OrderStatus(control::Change const&)> const verdictOf = [&](control::Change const& change) {
     control::Evaluation const evaluation = evaluator.evaluate(change, state, 3);
     control::Rejection const* const rejection = std::get_if<control::Rejection>(&evaluation);
-    return rejection == nullptr ? control::Verdict::taken : rejection->verdict;
+    return rejection == nullptr ? control::OrderStatus::taken : rejection->verdict;
   };
   control::Change onRevision = orderOn(10, 20, "x");
-  EXPECT_EQ(verdictOf(onRevision), control::Verdict::unknown);
+  EXPECT_EQ(verdictOf(onRevision), control::OrderStatus::unknown);
   onRevision.baseRevision = 20;
-  EXPECT_EQ(verdictOf(onRevision), control::Verdict::conflict);
+  EXPECT_EQ(verdictOf(onRevision), control::OrderStatus::conflict);
   control::Change onVersion = keyed("other", "{}");
   onVersion.base = config::Version{3, 1};
-  EXPECT_EQ(verdictOf(onVersion), control::Verdict::unknown);
+  EXPECT_EQ(verdictOf(onVersion), control::OrderStatus::unknown);
   onVersion.base = config::Version{3, 2};
-  EXPECT_EQ(verdictOf(onVersion), control::Verdict::conflict);
-  EXPECT_EQ(verdictOf(keyed("none", documentOf(20, "x"))), control::Verdict::unknown);
-  EXPECT_EQ(verdictOf(keyed("none", documentOf(21, "x"))), control::Verdict::refused);
+  EXPECT_EQ(verdictOf(onVersion), control::OrderStatus::conflict);
+  EXPECT_EQ(verdictOf(keyed("none", documentOf(20, "x"))), control::OrderStatus::unknown);
+  EXPECT_EQ(verdictOf(keyed("none", documentOf(21, "x"))), control::OrderStatus::refused);
 }
 
 TEST(Revision, ThatIsNamedAsBaseMustBeLeftBehind) {
-  control::OrderEvaluator const evaluator(control::Policy{}, config::ownLanguage());
+  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::ownLanguage());
   messages::State state = takenOn({}, keyed("c", "{}"), 5);
   control::Change change = keyed("x", R"({"services":{"a":{}}})");
-  EXPECT_TRUE(std::holds_alternative<control::Proposal>(evaluator.evaluate(change, state, 3)));
+  EXPECT_TRUE(std::holds_alternative<control::NewState>(evaluator.evaluate(change, state, 3)));
   change.baseRevision = 5;
   EXPECT_TRUE(std::holds_alternative<control::Rejection>(evaluator.evaluate(change, state, 3)));
   change.body = documentOf(6, "a");
-  EXPECT_TRUE(std::holds_alternative<control::Proposal>(evaluator.evaluate(change, state, 3)));
+  EXPECT_TRUE(std::holds_alternative<control::NewState>(evaluator.evaluate(change, state, 3)));
 }
 
 TEST(ContentKey, DoesNotUndoALaterChangeNorClaimToBeInForce) {
-  control::OrderEvaluator const evaluator(control::Policy{}, config::ownLanguage());
+  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::ownLanguage());
   control::Change first = keyed("content of first", R"({"services":{"a":{}}})");
   first.keyedByContentOnly = true;
   messages::State state = takenOn({}, first, 0);
@@ -624,7 +624,7 @@
   state = takenOn(state, keyed("second", "{}"), 0);
   control::Evaluation const again = evaluator.evaluate(first, state, 3);
   ASSERT_TRUE(std::holds_alternative<control::Rejection>(again));
-  EXPECT_EQ(std::get<control::Rejection>(again).verdict, control::Verdict::unknown);
+  EXPECT_EQ(std::get<control::Rejection>(again).verdict, control::OrderStatus::unknown);
   first.keyedByContentOnly = false;
   EXPECT_TRUE(std::holds_alternative<control::AlreadyTaken>(evaluator.evaluate(first, state, 3)));
 }
@@ -633,11 +633,11 @@
   TimePoint const start{std::chrono::hours(1)};
   control::AnswerGate gate;
   for (std::uint64_t ticket = 1; ticket <= 3; ++ticket) {
-    gate.hold({ticket, start + Ms(10 * ticket), start + Ms(1000), std::nullopt});
+    gate.add({ticket, start + Ms(10 * ticket), start + Ms(1000), std::nullopt});
   }
   EXPECT_TRUE(gate.takeConfirmed(std::nullopt).empty());
   EXPECT_TRUE(gate.takeConfirmed(start + Ms(9)).empty());
-  std::vector<control::HeldAnswer> const confirmed = gate.takeConfirmed(start + Ms(20));
+  std::vector<control::PendingAnswer> const confirmed = gate.takeConfirmed(start + Ms(20));
   ASSERT_EQ(confirmed.size(), 2U);
   EXPECT_EQ(confirmed.back().ticket, 2U);
   EXPECT_TRUE(gate.takeExpired(start + Ms(999)).empty());
@@ -646,9 +646,10 @@
 }
 
 TEST(ForwardedOrder, IsDecidedOnlyByAnAnswerThatNamesIt) {
-  for (control::Verdict const verdict : {control::Verdict::taken, control::Verdict::refused, control::Verdict::conflict,
-                                         control::Verdict::notRun, control::Verdict::unknown}) {
-    control::Decided decided;
+  for (control::OrderStatus const verdict :
+       {control::OrderStatus::taken, control::OrderStatus::refused, control::OrderStatus::conflict,
+        control::OrderStatus::notRun, control::OrderStatus::unknown}) {
+    control::OrderOutcome decided;
     decided.verdict = verdict;
     EXPECT_EQ(control::decidedChange(control::answerOf(decided, "mine")), std::optional<std::string>("mine"));
   }
@@ -669,7 +670,7 @@
   late.ticket = fleet.nextTicket();
   fleet.submit(*fleet.primary(), late);
   ASSERT_TRUE(fleet.answers.contains(late.ticket));
-  EXPECT_EQ(fleet.answers.at(late.ticket).decided.verdict, control::Verdict::notRun);
+  EXPECT_EQ(fleet.answers.at(late.ticket).decided.verdict, control::OrderStatus::notRun);
   fleet.run(Ms(1000));
   EXPECT_EQ(fleet.machines[*fleet.primary()].controller->plane->published().evacuatedZones,
             std::vector<std::string>{"z1"});
--- a/tests/peer_views_test.cpp
+++ b/tests/peer_views_test.cpp
@@ -38,7 +38,7 @@
   void start(std::size_t index) {
     std::vector<std::string> const seeds(addresses.begin(), addresses.begin() + 3);
     views[index].emplace(
-        ViewPolicy{},
+        PeerViewOptions{},
         messages::Peer{nameOf(index), addresses[index], "z", messages::gatewayRole, network.random()(), 0}, seeds,
         network.random()());
     up[index] = true;
@@ -61,7 +61,7 @@
       messages::Shuffle const shuffle = std::get<messages::Shuffle>(outgoing.message);
       network.after(std::chrono::microseconds(200 + network.roll(3000)), [this, from, to, shuffle] {
         if (to < up.size() && up[to] && cutOff != from && cutOff != to) {
-          send(to, views[to]->hear(network.now(), nameOf(from), addresses[from], shuffle));
+          send(to, views[to]->onMessage(network.now(), nameOf(from), addresses[from], shuffle));
         }
       });
     }
@@ -214,10 +214,10 @@
   TimePoint const start{std::chrono::hours(1)};
   views.tick(start);
   views.setSeeds({"127.0.0.4:1"});
-  views.hear(start, "m4", "127.0.0.4:1", messages::Shuffle{true, {}});
+  views.onMessage(start, "m4", "127.0.0.4:1", messages::Shuffle{true, {}});
   EXPECT_FALSE(views.mayFound(start));
-  views.hear(start, "m2", seeds[1], messages::Shuffle{true, {}});
-  views.hear(start, "m3", seeds[2], messages::Shuffle{true, {}});
+  views.onMessage(start, "m2", seeds[1], messages::Shuffle{true, {}});
+  views.onMessage(start, "m3", seeds[2], messages::Shuffle{true, {}});
   EXPECT_TRUE(views.mayFound(start));
 }
 
@@ -230,7 +230,7 @@
       TimePoint const now = start + Ms(waitMs);
       views.tick(now);
       for (std::size_t seed = 1; seed <= heard; ++seed) {
-        views.hear(now, "m" + std::to_string(seed + 1), seeds[seed], messages::Shuffle{true, {}});
+        views.onMessage(now, "m" + std::to_string(seed + 1), seeds[seed], messages::Shuffle{true, {}});
       }
       EXPECT_EQ(views.mayFound(now), heard == 2 || (heard == 1 && waitMs >= 4000)) << heard << " " << waitMs;
     }
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,6 +1,6 @@
 #include "limeramp/control/relay.h"
-#include "limeramp/control/dialect.h"
 #include "limeramp/control/operator_api.h"
+#include "limeramp/control/operator_protocol_adapter.h"
 
 #include <gtest/gtest.h>
 
@@ -14,14 +14,14 @@
 using Ms = std::chrono::milliseconds;
 
 struct Bench {
-  Relay relay{RelayPolicy{}, 100};
+  Relay relay{RelayOptions{}, 100};
   TimePoint now{std::chrono::hours(1)};
   std::vector<RelaySend> sent;
   std::set<std::uint64_t> open;
   std::size_t finals = 0;
   std::size_t done = 0;
   bool doubt = false;
-  std::optional<Verdict> verdict;
+  std::optional<OrderStatus> verdict;
 
   void step(RelayEvent const& event) {
     for (RelayEffect const& effect : relay.step(now, event)) {
@@ -36,7 +36,7 @@
         ++done;
       } else {
         ++finals;
-        verdict = std::get<Decided>(effect).verdict;
+        verdict = std::get<OrderOutcome>(effect).verdict;
       }
     }
   }
@@ -45,7 +45,7 @@
     if (!sent.empty() && open.contains(sent.back().attempt)) {
       open.erase(sent.back().attempt);
       doubt = doubt || outcome == RelayOutcome::mayHaveRun;
-      step(RelayReturned{1, sent.back().attempt, outcome});
+      step(RelayAttemptFinished{1, sent.back().attempt, outcome});
     }
   }
 };
@@ -58,7 +58,7 @@
   do {
     for (std::size_t length = 0; length <= order.size(); ++length) {
       Bench bench;
-      bench.step(RelayAsked{1, bench.now + Ms(5000)});
+      bench.step(RelayRequested{1, bench.now + Ms(5000)});
       for (std::size_t place = 0; place < length; ++place) {
         switch (order[place]) {
           case 0:
@@ -87,7 +87,7 @@
       EXPECT_EQ(bench.finals, 1u);
       if (bench.done == 0) {
         EXPECT_EQ(before, 0u);
-        EXPECT_EQ(*bench.verdict, bench.doubt ? Verdict::unknown : Verdict::notRun);
+        EXPECT_EQ(*bench.verdict, bench.doubt ? OrderStatus::unknown : OrderStatus::notRun);
         (bench.doubt ? unknown : notRun) += 1;
       }
       answered += bench.done;
@@ -100,32 +100,32 @@
 
 TEST(Relay, AfterANewPrimaryTheChangeGoesThereAtOnceAndAnOldAnswerIsLeftAside) {
   Bench bench;
-  bench.step(RelayAsked{1, bench.now + Ms(5000)});
+  bench.step(RelayRequested{1, bench.now + Ms(5000)});
   EXPECT_TRUE(bench.sent.empty());
   bench.step(RelayPrimary{"a"});
   ASSERT_EQ(bench.sent.size(), 1u);
   bench.step(RelayPrimary{"b"});
   ASSERT_EQ(bench.sent.size(), 2u);
   EXPECT_EQ(bench.sent.back().address, "b");
-  bench.step(RelayReturned{1, bench.sent.front().attempt, RelayOutcome::final});
+  bench.step(RelayAttemptFinished{1, bench.sent.front().attempt, RelayOutcome::final});
   EXPECT_EQ(bench.finals, 0u);
-  bench.step(RelayReturned{1, bench.sent.back().attempt, RelayOutcome::final});
+  bench.step(RelayAttemptFinished{1, bench.sent.back().attempt, RelayOutcome::final});
   EXPECT_EQ(bench.done, 1u);
 }
 
 TEST(Relay, HasABound) {
   Bench bench;
   for (std::uint64_t ticket = 1; ticket <= 300; ++ticket) {
-    bench.step(RelayAsked{ticket, bench.now + Ms(5000)});
+    bench.step(RelayRequested{ticket, bench.now + Ms(5000)});
   }
   EXPECT_EQ(bench.finals, 44u);
-  EXPECT_EQ(*bench.verdict, Verdict::notRun);
+  EXPECT_EQ(*bench.verdict, OrderStatus::notRun);
 }
 
-TEST(Forgetting, MalformedWordsAreRefusedByPath) {
+TEST(NodeRemoval, MalformedWordsAreRefusedByPath) {
   for (char const* const body : {"", "[]", "{}", R"({"nodes":[]})", R"({"nodes":["a",3]})", R"({"nodes":[""]})",
                                  R"({"nodes":["a"],"now":true})", R"({"nodes":"a"})"}) {
-    std::variant<std::vector<std::string>, net::Answer> const read = readForget(body);
+    std::variant<std::vector<std::string>, net::Answer> const read = readRemoveNodes(body);
     ASSERT_TRUE(std::holds_alternative<net::Answer>(read)) << body;
     EXPECT_EQ(std::get<net::Answer>(read).status, 400);
     EXPECT_NE(std::get<net::Answer>(read).body.find("\"path\""), std::string::npos);
@@ -135,7 +135,7 @@
     EXPECT_TRUE(std::holds_alternative<net::Answer>(readForceNewGroup(body))) << body;
   }
   EXPECT_EQ(std::get<std::string>(readForceNewGroup(R"({"from":"127.0.0.1:1"})")), "127.0.0.1:1");
-  EXPECT_EQ(std::get<std::vector<std::string>>(readForget(R"({"nodes":["a","b"]})")).size(), 2u);
+  EXPECT_EQ(std::get<std::vector<std::string>>(readRemoveNodes(R"({"nodes":["a","b"]})")).size(), 2u);
 }
 
 TEST(Probing, OnlyARefusalOrAnotherNameProvesADeath) {
@@ -200,18 +200,18 @@
 }
 
 TEST(Orders, AnOperatorsWordsAreTranslatedBothWaysAndBounded) {
-  OperatorDialect dialect;
-  dialect.toOwn = [](net::Request const& asked) {
+  OperatorProtocolAdapter dialect;
+  dialect.toNative = [](net::Request const& asked) {
     return asked.target == "/zones" ? std::optional(requestOf("PUT", "/limeramp/zones/a/emptied")) : std::nullopt;
   };
-  dialect.fromOwn = [](net::Request const& asked, net::Answer own) {
+  dialect.fromNative = [](net::Request const& asked, net::Answer own) {
     own.headers.emplace_back("to", asked.target);
     own.status += 1;
     return own;
   };
   std::vector<net::Request> ran;
   std::optional<net::Answer> answer;
-  Serve const own = [&](net::Request request, net::Responder const& respond) {
+  OperatorHandler const own = [&](net::Request request, net::Responder const& respond) {
     ran.push_back(std::move(request));
     respond({200, {}, "own"});
   };
--- a/tests/replication_guards_test.cpp
+++ b/tests/replication_guards_test.cpp
@@ -24,12 +24,12 @@
     step(known);
   }
 
-  void step(replication::Event const& event) {
-    for (replication::Effect const& effect : group.step(now, event)) {
+  void step(replication::GroupEvent const& event) {
+    for (replication::GroupEffect const& effect : group.step(now, event)) {
       if (replication::Send const* const send = std::get_if<replication::Send>(&effect)) {
         sent.push_back(*send);
       } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
-        step(replication::Persisted{persist->token, !diskFull});
+        step(replication::PersistFinished{persist->token, !diskFull});
       } else {
         others.push_back(effect);
       }
@@ -37,7 +37,7 @@
   }
 
   void receive(std::string const& from, messages::Message const& message) {
-    step(replication::Received{from, "address-" + from, message});
+    step(replication::MessageReceived{from, "address-" + from, message});
   }
 
   // Lets time pass while the named peers send heartbeats and the others are silent.
@@ -70,10 +70,10 @@
     receive(from, heartbeat);
   }
 
-  replication::ReplicationGroup group{replication::policyFor(1)};
+  replication::ReplicationGroup group{replication::optionsFor(1)};
   replication::TimePoint now{std::chrono::hours(1)};
   std::vector<replication::Send> sent;
-  std::vector<replication::Effect> others;
+  std::vector<replication::GroupEffect> others;
   bool diskFull = false;
 
  private:
@@ -101,7 +101,7 @@
   }
   messages::Ballot const ballot = prepare->ballot;
   EXPECT_GT(ballot.round, ownRound);
-  member.receive("c", messages::Promise{2, ballot, true, ballot, {peerRound, "b"}, peer});
+  member.receive("c", messages::PrepareResponse{2, ballot, true, ballot, {peerRound, "b"}, peer});
   messages::Accept const* const accept = member.lastSent<messages::Accept>("c");
   EXPECT_NE(accept, nullptr);
   return accept == nullptr ? "" : accept->record.backups.front();
@@ -142,43 +142,43 @@
   ASSERT_NE(joining, nullptr);
   member.receive("b", messages::Synced{1, joining->token});
   ASSERT_TRUE(member.group.active());
-  member.step(replication::Retire{});
+  member.step(replication::BeginShutdown{});
   member.others.clear();
   messages::State change = member.group.state();
   change.document = "late";
-  member.step(replication::Offer{11, change});
+  member.step(replication::Proposal{11, change});
   ASSERT_EQ(member.others.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<replication::Doubtful>(member.others.front()));
+  EXPECT_TRUE(std::holds_alternative<replication::OutcomeUnknown>(member.others.front()));
   EXPECT_EQ(member.group.state().document, "");
 }
 
 TEST(Guards, ALeavingMemberWaitsUntilThePrimaryAndAMajorityHaveStoredTheEpochWithoutIt) {
   DrivenMember member("c");
   member.learn(firstEpoch(), "a");
-  member.step(replication::Retire{});
+  member.step(replication::BeginShutdown{});
   messages::EpochRecord const without{2, fleet, "a", {"b"}, {"a", "b", "d"}};
   member.learn(without, "a");
-  EXPECT_EQ(member.group.leaveProgress(), replication::LeaveProgress::epochNotSpread);
+  EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::epochNotSpread);
   messages::Heartbeat stored;
   stored.epoch = 2;
   stored.storedEpoch = 2;
   member.receive("a", stored);
-  EXPECT_EQ(member.group.leaveProgress(), replication::LeaveProgress::epochNotSpread);
+  EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::epochNotSpread);
   member.receive("b", stored);
-  EXPECT_EQ(member.group.leaveProgress(), replication::LeaveProgress::done);
-  EXPECT_TRUE(member.group.retired());
+  EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::done);
+  EXPECT_TRUE(member.group.mayShutDown());
 }
 
 TEST(Guards, ALeavingMemberEndsWhenItsTimeIsOver) {
   DrivenMember member("b");
   member.learn(firstEpoch(), "a");
-  EXPECT_EQ(member.group.leaveProgress(), replication::LeaveProgress::staying);
-  member.step(replication::Retire{});
-  member.pass(replication::Policy{}.leaveMs - Ms(40), {"a", "c"});
-  EXPECT_EQ(member.group.leaveProgress(), replication::LeaveProgress::replicaNotReplaced);
+  EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::notRequested);
+  member.step(replication::BeginShutdown{});
+  member.pass(replication::ReplicationOptions{}.shutdownGraceMs - Ms(40), {"a", "c"});
+  EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::replicaNotReplaced);
   member.pass(Ms(60), {"a", "c"});
-  EXPECT_EQ(member.group.leaveProgress(), replication::LeaveProgress::graceTimeOver);
-  EXPECT_TRUE(member.group.retired());
+  EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::graceTimeOver);
+  EXPECT_TRUE(member.group.mayShutDown());
 }
 
 void startAll(ReplicationSimulation& group) {
@@ -288,20 +288,20 @@
   member.diskFull = true;
   messages::State change = member.group.state();
   change.document = "does not fit";
-  member.step(replication::Offer{11, change});
+  member.step(replication::Proposal{11, change});
   messages::Sync const* const transfer = member.lastSent<messages::Sync>("b");
   ASSERT_NE(transfer, nullptr);
   member.receive("b", messages::Synced{1, transfer->token});
   EXPECT_FALSE(member.group.active());
-  EXPECT_TRUE(member.group.ailing());
-  for (replication::Effect const& effect : member.others) {
+  EXPECT_TRUE(member.group.unhealthy());
+  for (replication::GroupEffect const& effect : member.others) {
     EXPECT_FALSE(std::holds_alternative<replication::Committed>(effect));
   }
   member.sent.clear();
   member.pass(Ms(1000), {"b", "c"});
   messages::Heartbeat const* const heartbeat = member.lastSent<messages::Heartbeat>("b");
   ASSERT_NE(heartbeat, nullptr);
-  EXPECT_TRUE(heartbeat->ailing);
+  EXPECT_TRUE(heartbeat->unhealthy);
 }
 
 // Every time-out of a primary and of its backups is off by the length of a freeze here, in both directions.
--- a/tests/replication_parts_test.cpp
+++ b/tests/replication_parts_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_FALSE(acceptor.accept({1, "b"}, recordWithPrimary("b")).granted);
   EXPECT_FALSE(acceptor.accepted.has_value());
   EXPECT_TRUE(acceptor.accept({2, "a"}, recordWithPrimary("a")).granted);
-  messages::Promise const answer = acceptor.promise({3, "b"});
+  messages::PrepareResponse const answer = acceptor.promise({3, "b"});
   EXPECT_TRUE(answer.granted);
   EXPECT_EQ(answer.nextEpoch, 2u);
   EXPECT_EQ(answer.acceptedBallot, (messages::Ballot{2, "a"}));
@@ -58,7 +58,7 @@
     proposal.prepare({9, "a"}, start);
     for (int turn = 0; turn < 2; ++turn) {
       bool const higher = (turn == 1) == risingOrder;
-      messages::Promise promise;
+      messages::PrepareResponse promise;
       promise.acceptedBallot = {higher ? 6u : 5u, "x"};
       promise.accepted = recordWithPrimary(higher ? "higher" : "lower");
       proposal.countPromise(turn == 0 ? "b" : "c", promise);
@@ -120,13 +120,13 @@
     }
     detector.know(start, members, [](std::string const&) { return true; });
     for (Member const& member : members) {
-      detector.heard(start, member.id, {});
+      detector.recordHeartbeat(start, member.id, {});
     }
   }
 
-  MembershipPlanner planner(TimePoint now = start) const { return {policy, detector, decided, self, now}; }
+  MembershipPlanner planner(TimePoint now = start) const { return {options, detector, decided, self, now}; }
 
-  Policy policy = policyFor(1);
+  ReplicationOptions options = optionsFor(1);
   FailureDetector detector;
   messages::EpochRecord decided{1, "fleet", "a", {"b"}, {"a", "b", "c"}};
   Member self{"a", "address-a", "z0"};
@@ -140,26 +140,26 @@
 }
 
 TEST_F(Planner, LeavesOutTheSilentTheAilingAndTheWiped) {
-  messages::Heartbeat ailing;
-  ailing.ailing = true;
-  detector.heard(start, "c", ailing);
+  messages::Heartbeat unhealthy;
+  unhealthy.unhealthy = true;
+  detector.recordHeartbeat(start, "c", unhealthy);
   EXPECT_EQ(planner().backupsFor("a"), std::vector<std::string>{"d"});
   EXPECT_TRUE(planner().repairWanted(planner().preferred())) << "c votes and d could in its place";
-  EXPECT_FALSE(planner(start + policy.lostMs + Ms(1)).couldGoOn()) << "all are silent";
+  EXPECT_FALSE(planner(start + options.lostMs + Ms(1)).canFormGroup()) << "all are silent";
   detector.know(start, {{"d-new", "address-d", "z2"}}, [](std::string const&) { return true; });
-  detector.heard(start + Ms(10), "d-new", {});
-  EXPECT_TRUE(detector.superseded(start + Ms(10), "d", policy.lostMs));
-  EXPECT_FALSE(detector.superseded(start + Ms(10), "d-new", policy.lostMs));
+  detector.recordHeartbeat(start + Ms(10), "d-new", {});
+  EXPECT_TRUE(detector.superseded(start + Ms(10), "d", options.lostMs));
+  EXPECT_FALSE(detector.superseded(start + Ms(10), "d-new", options.lostMs));
 }
 
 TEST_F(Planner, SilentWitnessesKeepTheirVotesWhereNobodyCouldTakeThem) {
-  messages::Heartbeat ailing;
-  ailing.ailing = true;
+  messages::Heartbeat unhealthy;
+  unhealthy.unhealthy = true;
   for (std::string const id : {"c", "d", "e"}) {
-    detector.heard(start, id, ailing);
+    detector.recordHeartbeat(start, id, unhealthy);
   }
   EXPECT_EQ(planner().witnessesFor("a", {"b"}), (std::vector<std::string>{"a", "b", "c"}));
-  EXPECT_FALSE(planner().successorHeard({"a", "b", "c"}));
+  EXPECT_FALSE(planner().successorKnown({"a", "b", "c"}));
   EXPECT_FALSE(planner().repairWanted(planner().preferred()));
 }
 
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -19,7 +19,7 @@
   for (SimulatedMember const& node : group.nodes) {
     messages::EpochRecord const& decided = node.group.decided();
     picture += "\n" + node.id + (node.up ? " up" : " down") + (node.frozen ? " frozen" : "") +
-               (node.group.ailing() ? " ailing" : "") + " epoch " + std::to_string(decided.epoch) + " sealed " +
+               (node.group.unhealthy() ? " ailing" : "") + " epoch " + std::to_string(decided.epoch) + " sealed " +
                std::to_string(node.group.fenced()) + " primary " + decided.primary + " backup " +
                (decided.backups.empty() ? "" : decided.backups.front()) + " witnesses";
     for (std::string const& witness : decided.witnesses) {
@@ -220,7 +220,7 @@
   return group.nodes.size();
 }
 
-TEST(Retiring, AWarnedPrimaryHandsOverWithoutTheSilenceOfATakeover) {
+TEST(ShuttingDown, AWarnedPrimaryHandsOverWithoutTheSilenceOfATakeover) {
   Ms worst{0};
   Ms withoutWarning{1'000'000};
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -230,11 +230,11 @@
       expectAlive(group, "at first");
       std::size_t const primary = primaryOf(group);
       if (warned) {
-        group.retire(primary);
-        for (int round = 0; round < 200 && !group.nodes[primary].group.retired(); ++round) {
+        group.beginShutdown(primary);
+        for (int round = 0; round < 200 && !group.nodes[primary].group.mayShutDown(); ++round) {
           group.run(Ms(10));
         }
-        EXPECT_TRUE(group.nodes[primary].group.retired()) << seed;
+        EXPECT_TRUE(group.nodes[primary].group.mayShutDown()) << seed;
       }
       TimePoint const ended = group.network.now();
       group.kill(primary, false);
@@ -257,14 +257,14 @@
   EXPECT_GT(withoutWarning, Ms(1200));
 }
 
-TEST(Retiring, KilledAtEveryStepOfItsHandOverLosesNothing) {
+TEST(ShuttingDown, KilledAtEveryStepOfItsHandOverLosesNothing) {
   for (std::uint64_t stepUs = 0; stepUs < 60'000; stepUs += 500) {
     ReplicationSimulation group(500 + stepUs, 3, 0);
     startAll(group);
     expectAlive(group, "at first");
     std::size_t const primary = primaryOf(group);
     group.offer();
-    group.retire(primary);
+    group.beginShutdown(primary);
     group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
     group.kill(primary, stepUs % 1000 == 0);
     expectAlive(group, "after the end at " + std::to_string(stepUs));
@@ -278,12 +278,12 @@
 // Runs the group until `index` may end, 6 s at most, and removes it for good, disk and address included.
 Ms leaveForGood(ReplicationSimulation& group, std::size_t index) {
   TimePoint const asked = group.network.now();
-  group.retire(index);
-  while (!group.nodes[index].group.retired() && group.network.now() - asked < Ms(6000)) {
+  group.beginShutdown(index);
+  while (!group.nodes[index].group.mayShutDown() && group.network.now() - asked < Ms(6000)) {
     group.run(Ms(10));
     group.offer();
   }
-  EXPECT_TRUE(group.nodes[index].group.retired());
+  EXPECT_TRUE(group.nodes[index].group.mayShutDown());
   group.wipe(index);
   return std::chrono::duration_cast<Ms>(group.network.now() - asked);
 }
@@ -370,11 +370,11 @@
       group.run(Ms(2000));
       std::size_t const leaver = membersByRole(group)[role];
       TimePoint const asked = group.network.now();
-      group.retire(leaver);
-      while (!group.nodes[leaver].group.retired() && group.network.now() - asked < Ms(6000)) {
+      group.beginShutdown(leaver);
+      while (!group.nodes[leaver].group.mayShutDown() && group.network.now() - asked < Ms(6000)) {
         group.run(Ms(10));
       }
-      EXPECT_TRUE(group.nodes[leaver].group.retired()) << count << " " << role;
+      EXPECT_TRUE(group.nodes[leaver].group.mayShutDown()) << count << " " << role;
       group.kill(leaver, true);
       group.start(leaver);
       expectAlive(group, "after its return");
@@ -888,7 +888,7 @@
         }
         case 11:
           if (node.up && !node.frozen) {
-            group.retire(index);
+            group.beginShutdown(index);
             group.run(Ms(static_cast<long>(group.network.roll(400))));
             group.kill(index, group.network.chance(0.5));
             group.start(index);
--- a/tests/resend_adversary_test.cpp
+++ b/tests/resend_adversary_test.cpp
@@ -1,5 +1,5 @@
 #include "limeramp/control/operator_api.h"
-#include "limeramp/control/runner.h"
+#include "limeramp/control/order_forwarder.h"
 #include "limeramp/gateway/request_plane.h"
 #include "stand_in_server.h"
 
@@ -341,12 +341,12 @@
     told_[id].kind = kind;
     client_.begin(number, path_, {"POST", prefix + id, {{"host", "h"}, {"x-id", id}}, bodyOf(id, random_() % 300), ""},
                   Clock::now() + Ms(30'000), [this, id](net::Exchange const& exchange) {
-                    hear(id, exchange);
+                    onFinished(id, exchange);
                     next();
                   });
   }
 
-  void hear(std::string const& id, net::Exchange const& exchange) {
+  void onFinished(std::string const& id, net::Exchange const& exchange) {
     Told& told = told_.at(id);
     ++told.answers;
     if (!exchange.answer) {
@@ -487,10 +487,11 @@
     for (std::unique_ptr<StandInServer>& primary : primaries_) {
       primary = std::make_unique<StandInServer>("x-order", [this](SeenRequest const& seen) { return react(seen); });
     }
-    runner_ = std::make_unique<control::Runner>(client_, "127.0.0.1:1", 100, [this](control::RunBack back) {
-      runner_->hear(now(), back);
-      moveOn(Ms(250));
-    });
+    runner_ =
+        std::make_unique<control::OrderForwarder>(client_, "127.0.0.1:1", 100, [this](control::ForwardFinished back) {
+          runner_->onFinished(now(), back);
+          moveOn(Ms(250));
+        });
     network_.post([this] { moveOn(Ms(1)); });
   }
   ~Orders() {
@@ -593,7 +594,7 @@
   std::size_t turns_ = 0;
   net::Network network_;
   net::HttpClient client_;
-  std::unique_ptr<control::Runner> runner_;
+  std::unique_ptr<control::OrderForwarder> runner_;
   std::array<std::unique_ptr<StandInServer>, 2> primaries_;
 };
 
@@ -605,7 +606,7 @@
 
 TEST(ResendAdversary, AnOrderThatMayHaveReachedThePrimaryIsNeverSaidToBeRefused) {
   constexpr int orders = 800;
-  constexpr int mostRepetitions = 6;
+  constexpr int maxRepetitions = 6;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     Orders path(seed);
     std::set<std::string> refused;
@@ -615,7 +616,7 @@
       std::string const order = std::to_string(number);
       net::Answer answer = path.send(order);
       bool inDoubt = false;
-      for (int turn = 1; turn < mostRepetitions && isUnclear(answer, inDoubt); ++turn) {
+      for (int turn = 1; turn < maxRepetitions && isUnclear(answer, inDoubt); ++turn) {
         inDoubt = true;
         ++unknown;
         answer = path.send(order);
--- a/tests/second_loss_test.cpp
+++ b/tests/second_loss_test.cpp
@@ -259,12 +259,12 @@
           ReplicationSimulation group = groupAtFullStrength(1 + static_cast<std::uint64_t>(waitMs), count, losses);
           std::vector<std::size_t> const duties = byDuty(group);
           group.offer();
-          group.retire(duties[leaver]);
+          group.beginShutdown(duties[leaver]);
           TimePoint const asked = group.network.now();
           group.run(Ms(waitMs));
           group.offer();
           group.wipe(duties[other]);
-          while (!group.nodes[duties[leaver]].group.retired() && group.network.now() - asked < Ms(6000)) {
+          while (!group.nodes[duties[leaver]].group.mayShutDown() && group.network.now() - asked < Ms(6000)) {
             group.run(Ms(10));
             group.offer();
           }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace limeramp::storage;
 
-Shape const small{3, 8192};
+RingLayout const small{3, 8192};
 
 struct Folder {
   Folder() {
@@ -41,7 +41,7 @@
   for (int round = 0; round < 60; ++round) {
     std::unique_ptr<RecordStore> const store = open(folder);
     EXPECT_FALSE(store->findings().damaged);
-    EXPECT_FALSE(store->findings().tailCut);
+    EXPECT_FALSE(store->findings().tailTruncated);
     if (round > 0) {
       EXPECT_EQ(store->values().at("turn"), std::to_string(round - 1));
       EXPECT_EQ(store->values().at("once"), "kept");
--- a/tests/worth_test.cpp
+++ b/tests/worth_test.cpp
@@ -52,7 +52,7 @@
   double worth = 1;
   double lateShare = 1;
   std::size_t priority = 0;
-  std::size_t mostAttempts = 2;
+  std::size_t maxAttempts = 2;
 };
 
 struct Asked {
@@ -322,7 +322,7 @@
       std::size_t const minimum =
           static_cast<std::size_t>(std::ceil(asked.minimumShare * static_cast<double>(asked.services.size()) - 1e-9));
       step(front,
-           Arrive{request, "t", asked.services, std::max<std::size_t>(1, minimum), asked.mostAttempts, asked.repeatable,
+           Arrive{request, "t", asked.services, std::max<std::size_t>(1, minimum), asked.maxAttempts, asked.repeatable,
                   network.now() + asked.deadlineMs, network.now() + asked.aimMs, asked.priority, kind});
     }
   }
--- a/testside/capacity/cost_benchmark.cpp
+++ b/testside/capacity/cost_benchmark.cpp
@@ -445,17 +445,17 @@
 
 void measureState(std::size_t nodes) {
   std::map<std::string, double> const at{{"nodes", static_cast<double>(nodes)}};
-  messages::News news;
-  news.node = "m1000";
-  news.state = stateOf(nodes, 80'000);
+  messages::StateResponse response;
+  response.node = "m1000";
+  response.state = stateOf(nodes, 80'000);
   double const from = threadUs();
   std::string fenced;
   for (int round = 0; round < 5; ++round) {
-    fenced = messages::seal({"fleet", "m1000", "10.1.0.1:7000", news});
+    fenced = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", response});
   }
   double const between = threadUs();
   for (int round = 0; round < 5; ++round) {
-    absl::StatusOr<messages::PeerMessage> const received = messages::unseal(fenced);
+    absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(fenced);
     if (!received.ok()) {
       std::fprintf(stderr, "the snapshot does not read\n");
     }
@@ -464,13 +464,13 @@
   add("snapshot unsealed", at, "us", (threadUs() - between) / 5);
   add("size of a snapshot", at, "bytes", static_cast<double>(fenced.size()));
   double const heapBefore = heapBytes();
-  std::deque<messages::State> const kept(8, *news.state);
+  std::deque<messages::State> const kept(8, *response.state);
   add("memory for the state in a node", at, "bytes", (heapBytes() - heapBefore) / static_cast<double>(kept.size()));
 }
 
 void measurePoll(std::size_t followers) {
   std::map<std::string, double> const at{{"followers", static_cast<double>(followers)}};
-  messages::Poll poll;
+  messages::StateRequest poll;
   poll.token = 1'234'567;
   poll.self = {"m1000", "10.1.0.1:7000", "z1", 3, 400};
   poll.peerStatuses.push_back({"m1000", 1'234'567'890'123, false, {}});
@@ -482,11 +482,11 @@
   double const from = threadUs();
   std::string fenced;
   for (int round = 0; round < 50; ++round) {
-    fenced = messages::seal({"fleet", "m1000", "10.1.0.1:7000", poll});
+    fenced = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", poll});
   }
   double const between = threadUs();
   for (int round = 0; round < 50; ++round) {
-    absl::StatusOr<messages::PeerMessage> const received = messages::unseal(fenced);
+    absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(fenced);
     if (!received.ok()) {
       std::fprintf(stderr, "the poll does not read\n");
     }
@@ -564,7 +564,7 @@
     shuffle.peers.push_back({"m" + std::to_string(index), "10.1.0." + std::to_string(index) + ":7000", "z1",
                              messages::gatewayRole, 1'234'567'890'123, 100});
   }
-  views.hear(distribution::TimePoint(std::chrono::hours(1)), "m1", "10.1.0.1:7000", shuffle);
+  views.onMessage(distribution::TimePoint(std::chrono::hours(1)), "m1", "10.1.0.1:7000", shuffle);
   double const after = heapBytes() - heapBefore;
   add("memory for a known node in a view", {{"peers", 32}}, "bytes", after / 32);
 }
