--- a/testside/capacity/fleet.cpp
+++ b/testside/capacity/fleet.cpp
@@ -54,7 +54,7 @@
 
 struct SimulatedController {
   std::optional<replication::ReplicationGroup> group;
-  std::optional<control::Plane> plane;
+  std::optional<control::ConfigService> plane;
   std::map<std::string, std::string> disk;
 };
 
@@ -72,7 +72,7 @@
 };
 
 constexpr std::size_t worthKeeping = 8'000;
-constexpr std::size_t mostOpened = 64;
+constexpr std::size_t maxOpened = 64;
 
 struct Member {
   Sealed pushed;
@@ -116,7 +116,7 @@
   discovery::List list;
   std::map<std::string, KindLoad> kinds;
   std::unordered_map<std::string const*, Opened> opened;
-  std::map<std::uint64_t, control::Decided> answers;
+  std::map<std::uint64_t, control::OrderOutcome> answers;
   std::uint64_t lastTicket = 0;
   std::size_t lastNumber = 0;
   std::size_t rosterChanges = 0;
@@ -130,14 +130,14 @@
   void tick(std::size_t index, std::uint64_t life);
   void send(std::size_t from, std::string const& address, messages::Message message);
   void sendAll(std::size_t from, std::vector<distribution::Outgoing>& sends);
-  Bytes seal(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost);
-  std::shared_ptr<messages::PeerMessage const> unseal(Bytes const& bytes, std::chrono::nanoseconds& kept);
+  Bytes encodeEnvelope(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost);
+  std::shared_ptr<messages::PeerMessage const> decodeEnvelope(Bytes const& bytes, std::chrono::nanoseconds& kept);
   void deliver(std::size_t to, std::size_t from, std::uint64_t life, Bytes const& bytes, std::string const& kind);
-  void hear(std::size_t to, messages::PeerMessage const& received);
+  void onMessage(std::size_t to, messages::PeerMessage const& received);
   void follow(std::size_t index, distribution::ConfigDeliveryStep step) { sendAll(index, step.sends); }
   void follow(std::size_t index, discovery::DeskStep step);
-  void step(std::size_t index, replication::Event const& event);
-  void drivePlane(std::size_t index, control::Event const& event);
+  void step(std::size_t index, replication::GroupEvent const& event);
+  void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
   void persist(std::size_t index, replication::Persist const& effect);
   void probe(std::size_t from, control::Probe const& wanted);
   Us delay(std::size_t from, std::size_t to);
@@ -187,17 +187,17 @@
   ++member.life;
   std::uint64_t const boot = network.random()() >> 1 | 1;
   std::string const role = member.controller ? messages::controllerRole : messages::gatewayRole;
-  member.views.emplace(distribution::ViewPolicy{},
+  member.views.emplace(distribution::PeerViewOptions{},
                        messages::Peer{member.id, member.address, member.zone, role, boot, 0}, seeds,
                        network.random()());
   if (member.gateway) {
     messages::Follower const self{member.id, member.address, member.zone, 0, 0};
-    member.gateway->delivery.emplace(distribution::ConfigDeliveryPolicy{}, self, boot, network.random()());
+    member.gateway->delivery.emplace(distribution::ConfigDeliveryOptions{}, self, boot, network.random()());
     member.gateway->desk.emplace(discovery::DeskPolicy{}, member.id, member.address, member.zone);
   } else {
-    control::Policy policy;
-    policy.mostNodes = shape.mostNodes == 0 ? policy.mostNodes : shape.mostNodes;
-    member.controller->group.emplace(replication::Policy{});
+    control::ConfigServiceOptions policy;
+    policy.maxNodes = shape.maxNodes == 0 ? policy.maxNodes : shape.maxNodes;
+    member.controller->group.emplace(replication::ReplicationOptions{});
     member.controller->plane.emplace(policy, member.id);
     step(index,
          replication::Start{
@@ -272,13 +272,13 @@
 }
 
 // A push is the same bytes for every follower: fenced and unsealed once, charged each time.
-Bytes Fleet::Impl::seal(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost) {
+Bytes Fleet::Impl::encodeEnvelope(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost) {
   Member& member = members[from];
-  messages::News const* const news = std::get_if<messages::News>(&message);
-  bool const push = news != nullptr && news->token == 0 && news->state && !member.controller;
+  messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&message);
+  bool const push = response != nullptr && response->token == 0 && response->state && !member.controller;
   std::pair<std::uint64_t, std::uint64_t> const mark =
-      push ? std::pair(news->epoch, news->sequence) : std::pair<std::uint64_t, std::uint64_t>(0, 0);
-  std::string const primaryAddress = push ? news->primaryAddress : "";
+      push ? std::pair(response->epoch, response->sequence) : std::pair<std::uint64_t, std::uint64_t>(0, 0);
+  std::string const primaryAddress = push ? response->primaryAddress : "";
   if (push && member.pushed.bytes != nullptr && member.pushed.mark == mark &&
       member.pushed.primaryAddress == primaryAddress) {
     cost += member.pushed.cost;
@@ -290,7 +290,8 @@
   {
     Meter const meter(spent);
     std::string const fleet = member.controller ? member.controller->group->decided().fleet : "f";
-    bytes = std::make_shared<std::string const>(messages::seal({fleet, member.id, member.address, std::move(message)}));
+    bytes = std::make_shared<std::string const>(
+        messages::encodeEnvelope({fleet, member.id, member.address, std::move(message)}));
   }
   cost += spent;
   if (push) {
@@ -299,7 +300,8 @@
   return bytes;
 }
 
-std::shared_ptr<messages::PeerMessage const> Fleet::Impl::unseal(Bytes const& bytes, std::chrono::nanoseconds& kept) {
+std::shared_ptr<messages::PeerMessage const> Fleet::Impl::decodeEnvelope(Bytes const& bytes,
+                                                                         std::chrono::nanoseconds& kept) {
   std::unordered_map<std::string const*, Opened>::const_iterator const found = opened.find(bytes.get());
   if (found != opened.end()) {
     kept += found->second.cost;
@@ -309,11 +311,11 @@
   std::shared_ptr<messages::PeerMessage const> received;
   {
     Meter const meter(spent);
-    absl::StatusOr<messages::PeerMessage> read = messages::unseal(*bytes);
+    absl::StatusOr<messages::PeerMessage> read = messages::decodeEnvelope(*bytes);
     received = read.ok() ? std::make_shared<messages::PeerMessage const>(*std::move(read)) : nullptr;
   }
   if (bytes->size() > worthKeeping) {
-    if (opened.size() >= mostOpened) {
+    if (opened.size() >= maxOpened) {
       opened.clear();
     }
     opened.emplace(bytes.get(), Opened{bytes, received, spent});
@@ -325,7 +327,7 @@
   Member& member = members[from];
   std::string const kind = std::visit([](auto const& concrete) { return std::string(concrete.name); }, message);
   KindLoad& load = kinds[kind];
-  Bytes const bytes = seal(from, std::move(message), load.sealing);
+  Bytes const bytes = encodeEnvelope(from, std::move(message), load.sealing);
   ++load.sent;
   load.bytes += bytes->size();
   ++member.load.sent;
@@ -356,9 +358,9 @@
   std::chrono::nanoseconds kept{0};
   {
     Meter const meter(spent);
-    std::shared_ptr<messages::PeerMessage const> const received = unseal(bytes, kept);
+    std::shared_ptr<messages::PeerMessage const> const received = decodeEnvelope(bytes, kept);
     if (received != nullptr) {
-      hear(to, *received);
+      onMessage(to, *received);
     }
   }
   spent += kept;
@@ -368,28 +370,29 @@
   load.hearing += spent;
 }
 
-void Fleet::Impl::hear(std::size_t to, messages::PeerMessage const& received) {
+void Fleet::Impl::onMessage(std::size_t to, messages::PeerMessage const& received) {
   Member& member = members[to];
   TimePoint const now = network.now();
   if (messages::Shuffle const* const shuffle = std::get_if<messages::Shuffle>(&received.message)) {
-    std::vector<distribution::Outgoing> sends = member.views->hear(now, received.from, received.address, *shuffle);
+    std::vector<distribution::Outgoing> sends = member.views->onMessage(now, received.from, received.address, *shuffle);
     sendAll(to, sends);
   } else if (member.controller) {
-    if (messages::Poll const* const poll = std::get_if<messages::Poll>(&received.message)) {
-      drivePlane(to, control::Polled{received.address, *poll});
-    } else if (!std::holds_alternative<messages::News>(received.message)) {
-      step(to, replication::Received{received.from, received.address, received.message});
+    if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received.message)) {
+      drivePlane(to, control::StateRequestReceived{received.address, *poll});
+    } else if (!std::holds_alternative<messages::StateResponse>(received.message)) {
+      step(to, replication::MessageReceived{received.from, received.address, received.message});
     }
-  } else if (messages::Poll const* const poll = std::get_if<messages::Poll>(&received.message)) {
-    follow(to, member.gateway->delivery->hear(now, received.address, *poll));
-  } else if (messages::News const* const news = std::get_if<messages::News>(&received.message)) {
-    follow(to, member.gateway->delivery->hear(now, received.address, *news));
+  } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received.message)) {
+    follow(to, member.gateway->delivery->onMessage(now, received.address, *poll));
+  } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&received.message)) {
+    follow(to, member.gateway->delivery->onMessage(now, received.address, *response));
   } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&received.message)) {
-    follow(to, member.gateway->delivery->hear(now, received.address, *update));
-  } else if (messages::TablePoll const* const tablePoll = std::get_if<messages::TablePoll>(&received.message)) {
-    follow(to, member.gateway->desk->hear(now, received.address, *tablePoll));
-  } else if (messages::TableNews const* const tableNews = std::get_if<messages::TableNews>(&received.message)) {
-    follow(to, member.gateway->desk->hear(now, received.address, *tableNews));
+    follow(to, member.gateway->delivery->onMessage(now, received.address, *update));
+  } else if (messages::TableRequest const* const tablePoll = std::get_if<messages::TableRequest>(&received.message)) {
+    follow(to, member.gateway->desk->onMessage(now, received.address, *tablePoll));
+  } else if (messages::TableResponse const* const tableResponse =
+                 std::get_if<messages::TableResponse>(&received.message)) {
+    follow(to, member.gateway->desk->onMessage(now, received.address, *tableResponse));
   }
 }
 
@@ -417,38 +420,39 @@
       members[index].controller->disk[put.first] = put.second;
     }
     Meter const meter(members[index].load.busy);
-    step(index, replication::Persisted{effect.token, true});
+    step(index, replication::PersistFinished{effect.token, true});
   });
 }
 
-void Fleet::Impl::step(std::size_t index, replication::Event const& event) {
-  for (replication::Effect const& effect : members[index].controller->group->step(network.now(), event)) {
+void Fleet::Impl::step(std::size_t index, replication::GroupEvent const& event) {
+  for (replication::GroupEffect const& effect : members[index].controller->group->step(network.now(), event)) {
     if (replication::Send const* const outgoing = std::get_if<replication::Send>(&effect)) {
       send(index, outgoing->address, outgoing->message);
     } else if (replication::Persist const* const wanted = std::get_if<replication::Persist>(&effect)) {
       persist(index, *wanted);
     } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
       drivePlane(index, *committed);
-    } else if (replication::Doubtful const* const doubtful = std::get_if<replication::Doubtful>(&effect)) {
-      drivePlane(index, *doubtful);
-    } else if (replication::Active const* const active = std::get_if<replication::Active>(&effect)) {
+    } else if (replication::OutcomeUnknown const* const outcomeUnknown =
+                   std::get_if<replication::OutcomeUnknown>(&effect)) {
+      drivePlane(index, *outcomeUnknown);
+    } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
       drivePlane(index, *active);
-    } else if (std::holds_alternative<replication::Inactive>(effect)) {
-      drivePlane(index, replication::Inactive{});
+    } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
+      drivePlane(index, replication::SteppedDown{});
     }
   }
 }
 
-void Fleet::Impl::drivePlane(std::size_t index, control::Event const& event) {
+void Fleet::Impl::drivePlane(std::size_t index, control::ConfigServiceEvent const& event) {
   SimulatedController& controller = *members[index].controller;
-  for (control::Effect const& effect : controller.plane->step(network.now(), *controller.group, event)) {
-    if (replication::Offer const* const offer = std::get_if<replication::Offer>(&effect)) {
+  for (control::ConfigServiceEffect const& effect : controller.plane->step(network.now(), *controller.group, event)) {
+    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
       rosterChanges +=
           offer->ticket >= 1ULL << 60 && offer->state.rosterSequence != controller.plane->published().rosterSequence
               ? 1
               : 0;
       step(index, *offer);
-    } else if (control::Decided const* const decided = std::get_if<control::Decided>(&effect)) {
+    } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
       answers[decided->ticket] = *decided;
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
       send(index, outgoing->address, outgoing->message);
@@ -477,7 +481,7 @@
     network.after(delay(to, from), [this, from, life, token, gone] {
       if (members[from].up && members[from].life == life) {
         Meter const meter(members[from].load.busy);
-        drivePlane(from, control::Probed{token, gone});
+        drivePlane(from, control::ProbeFinished{token, gone});
       }
     });
   });
@@ -488,8 +492,9 @@
   if (!member.up || !member.gateway) {
     return false;
   }
-  distribution::Standing const standing = member.gateway->delivery->status(network.now()).standing;
-  return standing == distribution::Standing::current || standing == distribution::Standing::upheld;
+  distribution::ConfigFreshness const freshness = member.gateway->delivery->status(network.now()).freshness;
+  return freshness == distribution::ConfigFreshness::confirmedByPrimary ||
+         freshness == distribution::ConfigFreshness::confirmedByMajority;
 }
 
 std::optional<std::size_t> Fleet::Impl::primary() const {
@@ -533,7 +538,7 @@
   std::vector<std::string> out;
   out.reserve(zones.size());
   for (std::pair<std::string const, std::vector<std::string>> const& entry : zones) {
-    out.push_back(distribution::rankHomes("configuration/" + entry.first, entry.second).front());
+    out.push_back(distribution::rankByRendezvousHash("configuration/" + entry.first, entry.second).front());
   }
   return out;
 }
@@ -688,7 +693,7 @@
   impl.beginStretch();
   TimePoint const from = impl.network.now();
   Stretch counts;
-  counts.leastServing = serving();
+  counts.minServing = serving();
   std::size_t rounds = 0;
   std::vector<std::uint64_t> tickets;
   std::function<std::size_t()> const someNode = [&] {
@@ -729,16 +734,17 @@
     });
     run(Ms(20));
     if (++rounds % 50 == 0) {
-      counts.leastServing = std::min(counts.leastServing, serving());
+      counts.minServing = std::min(counts.minServing, serving());
     }
   }
   Stretch out = impl.endStretch(from);
   out.restarts = counts.restarts;
   out.failures = counts.failures;
   out.changes = counts.changes;
-  out.leastServing = counts.leastServing;
+  out.minServing = counts.minServing;
   for (std::uint64_t const ticket : tickets) {
-    out.taken += impl.answers.contains(ticket) && impl.answers.at(ticket).verdict == control::Verdict::taken ? 1 : 0;
+    out.taken +=
+        impl.answers.contains(ticket) && impl.answers.at(ticket).verdict == control::OrderStatus::taken ? 1 : 0;
   }
   return out;
 }
@@ -763,7 +769,7 @@
       }
     }
     if (out.acknowledgedMs < Ms(0) && impl.answers.contains(*ticket)) {
-      out.verdict = impl.answers.at(*ticket).verdict == control::Verdict::taken ? "taken" : "other";
+      out.verdict = impl.answers.at(*ticket).verdict == control::OrderStatus::taken ? "taken" : "other";
       out.acknowledgedMs = passed;
     }
     if (out.everywhereMs < Ms(0) && published && impl.everyoneHas(*published)) {
--- a/testside/capacity/fleet.h
+++ b/testside/capacity/fleet.h
@@ -18,7 +18,7 @@
   std::size_t shards = 4;
   std::size_t zones = 18;
   std::size_t regions = 6;
-  std::size_t mostNodes = 0;
+  std::size_t maxNodes = 0;
   std::size_t documentBytes = 0;
   std::uint64_t seed = 1;
 };
@@ -51,7 +51,7 @@
   std::size_t changes = 0;
   std::size_t taken = 0;
   std::size_t rosterChanges = 0;
-  std::size_t leastServing = 0;
+  std::size_t minServing = 0;
 };
 
 struct Landing {
--- a/testside/capacity/scale_simulation.cpp
+++ b/testside/capacity/scale_simulation.cpp
@@ -52,7 +52,7 @@
   std::ostringstream out;
   out << "{\"seconds\":" << number(stretch.seconds) << ",\"restarts\":" << stretch.restarts
       << ",\"failures\":" << stretch.failures << ",\"changes\":" << stretch.changes << ",\"taken\":" << stretch.taken
-      << ",\"roster_changes\":" << stretch.rosterChanges << ",\"least_serving\":" << stretch.leastServing
+      << ",\"roster_changes\":" << stretch.rosterChanges << ",\"least_serving\":" << stretch.minServing
       << ",\"list_readers\":" << readers << ",\"list_reads_per_s\":" << number(listReads / stretch.seconds)
       << ",\"roles\":{";
   bool first = true;
@@ -138,7 +138,7 @@
   shape.zones = given["zones"].as<std::size_t>();
   shape.regions = given["regions"].as<std::size_t>();
   shape.seed = given["seed"].as<std::uint64_t>();
-  shape.mostNodes = given["most-nodes"].as<std::size_t>();
+  shape.maxNodes = given["most-nodes"].as<std::size_t>();
   shape.documentBytes = given["document"].as<std::size_t>();
   std::set<std::string> const phases = wordsOf(given["phases"].as<std::string>());
   Ms const stretchMs(static_cast<long>(given["seconds"].as<double>() * 1000));
@@ -170,7 +170,7 @@
   std::ostream& out = std::cout;
   out << "{\"nodes\":" << shape.nodes << ",\"servers\":" << shape.servers << ",\"shards\":" << shape.shards
       << ",\"zones\":" << shape.zones << ",\"regions\":" << shape.regions << ",\"seed\":" << shape.seed
-      << ",\"most_nodes\":" << shape.mostNodes << ",\"document\":" << shape.documentBytes
+      << ",\"most_nodes\":" << shape.maxNodes << ",\"document\":" << shape.documentBytes
       << ",\"speed\":" << number(speed) << ",\"warm\":" << (warm ? "true" : "false")
       << ",\"serving\":" << fleet.serving() << ",\"listed\":" << fleet.listed()
       << ",\"state_bytes\":" << fleet.stateBytes()
--- a/testside/explorer/action.h
+++ b/testside/explorer/action.h
@@ -22,7 +22,7 @@
   replace,
   cut,
   heal,
-  retire,
+  beginShutdown,
   offer,
   read,
 };
--- a/testside/explorer/history.cpp
+++ b/testside/explorer/history.cpp
@@ -81,7 +81,8 @@
   acknowledged = document.size() > acknowledged.size() ? document : acknowledged;
 }
 
-void History::onAnswer(std::string const& member, control::Decided const& answer, messages::State const& published) {
+void History::onAnswer(std::string const& member, control::OrderOutcome const& answer,
+                       messages::State const& published) {
   std::map<std::uint64_t, Call>::const_iterator const call = calls.find(answer.ticket);
   if (call == calls.end()) {
     fail(member + " answers a call twice");
@@ -93,13 +94,13 @@
     return;
   }
   OrderOutcome& outcome = orders[order];
-  if (answer.verdict == control::Verdict::taken) {
+  if (answer.verdict == control::OrderStatus::taken) {
     noteInForce(member, published.epoch, published.document);
   }
   std::vector<std::string> const inForce = changesOf(acknowledged);
   std::vector<std::string>::const_iterator const place = std::find(inForce.begin(), inForce.end(), order);
   bool const isTaken = place != inForce.end();
-  if (answer.verdict == control::Verdict::taken) {
+  if (answer.verdict == control::OrderStatus::taken) {
     if (!isTaken || outcome.refused) {
       fail(member + " acknowledges order " + order + (isTaken ? " after it was refused" : " and does not hold it"));
     } else if (static_cast<std::uint64_t>(place - inForce.begin()) != outcome.baseRevision) {
@@ -110,12 +111,12 @@
            outcome.takenAs->text());
     }
     outcome.takenAs = answer.version;
-  } else if (answer.verdict == control::Verdict::refused || answer.verdict == control::Verdict::conflict) {
+  } else if (answer.verdict == control::OrderStatus::refused || answer.verdict == control::OrderStatus::conflict) {
     if (isTaken) {
       fail(member + " refuses order " + order + ", which was taken: " + answer.reason);
     }
     outcome.refused = true;
-  } else if (answer.verdict == control::Verdict::notRun) {
+  } else if (answer.verdict == control::OrderStatus::notRun) {
     ++outcome.callsNotRun;
     if (isTaken && outcome.callsNotRun == outcome.calls) {
       fail(member + " says that order " + order + " has not run, and it is in force");
@@ -123,7 +124,7 @@
   }
 }
 
-void History::onReadBack(std::string const& member, std::uint64_t epoch, control::ReadBack const& answer) {
+void History::onReadBack(std::string const& member, std::uint64_t epoch, control::ConfigurationRead const& answer) {
   std::map<std::uint64_t, Call>::const_iterator const call = calls.find(answer.ticket);
   if (call == calls.end()) {
     fail(member + " answers a read twice");
--- a/testside/explorer/history.h
+++ b/testside/explorer/history.h
@@ -55,9 +55,9 @@
   void onRead(std::uint64_t ticket);
   /// A repetition has the outcome of the first; nothing is refused that was taken, or taken that was refused; what is
   /// said not to have run is not in force.
-  void onAnswer(std::string const& member, control::Decided const& answer, messages::State const& published);
+  void onAnswer(std::string const& member, control::OrderOutcome const& answer, messages::State const& published);
   /// A read returns at least what was acknowledged before it began, and what it returns stays.
-  void onReadBack(std::string const& member, std::uint64_t epoch, control::ReadBack const& answer);
+  void onReadBack(std::string const& member, std::uint64_t epoch, control::ConfigurationRead const& answer);
   /// A client has been told that this document is in force: none of it may be lost from now on.
   void noteInForce(std::string const& member, std::uint64_t epoch, std::string const& document);
   /// Every order of this document is in it once, and none was refused.
--- a/testside/explorer/scenarios.cpp
+++ b/testside/explorer/scenarios.cpp
@@ -9,10 +9,10 @@
 constexpr int calmRounds = 60;
 
 /// A group that has been founded, has acknowledged one change, and has been calm since.
-World settled(Setup const& setup) {
+World caughtUp(Setup const& setup) {
   Setup calm = setup;
   calm.heartbeats = true;
-  calm.mostPackets = 1000;
+  calm.maxPackets = 1000;
   World world(calm, {});
   world.recover(settleBoundMs);
   for (int round = 0; round < calmRounds; ++round) {
@@ -39,8 +39,8 @@
 World rivalBallots(Setup const& setup) {
   Setup calm = setup;
   calm.heartbeats = true;
-  calm.mostPackets = 1000;
-  World world = settled(calm);
+  calm.maxPackets = 1000;
+  World world = caughtUp(calm);
   if (!world.leader()) {
     return world;
   }
@@ -63,7 +63,7 @@
 /// The leader and its last backup have been frozen for a while. The others have decided the next epoch, and its leader
 /// has acknowledged a change. What the frozen ones had heard before lies fresh before their clocks.
 World replacedUnawares(Setup const& setup, std::size_t changes) {
-  World world = settled(setup);
+  World world = caughtUp(setup);
   if (!world.leader()) {
     return world;
   }
@@ -120,9 +120,9 @@
   five.syncsAtOnce = true;
   std::vector<Scenario> out;
   out.push_back(scenario("changes", "three members, changes while one crashes or is silent",
-                         withoutPackets(settled(three)), {.offers = 2, .ticks = 4, .jumps = 1, .crashes = 1}));
+                         withoutPackets(caughtUp(three)), {.offers = 2, .ticks = 4, .jumps = 1, .crashes = 1}));
   out.push_back(scenario("takeover", "three members, a silent primary, syncs at once",
-                         withoutPackets(settled(threeAtOnce)), {.offers = 2, .ticks = 8, .jumps = 2}));
+                         withoutPackets(caughtUp(threeAtOnce)), {.offers = 2, .ticks = 8, .jumps = 2}));
   out.push_back(
       scenario("ballots", "primary and backup propose at once, no heartbeats", rivalBallots(threeQuiet), {.ticks = 4}));
   out.push_back(scenario("ballots-crash", "the same, and one machine loses power", rivalBallots([] {
@@ -133,11 +133,11 @@
                          {.ticks = 2, .crashes = 1}));
   out.push_back(scenario("founding", "three members that were never started", World(threeAtOnce, {}),
                          {.offers = 1, .ticks = 15, .wipes = 1}));
-  out.push_back(scenario("leave", "the primary is told to end", withoutPackets(settled(threeAtOnce)),
+  out.push_back(scenario("leave", "the primary is told to end", withoutPackets(caughtUp(threeAtOnce)),
                          {.offers = 2, .ticks = 6, .retirements = 1}));
-  out.push_back(scenario("wipe", "a machine loses its disk and returns", withoutPackets(settled(threeAtOnce)),
+  out.push_back(scenario("wipe", "a machine loses its disk and returns", withoutPackets(caughtUp(threeAtOnce)),
                          {.offers = 1, .ticks = 8, .jumps = 1, .wipes = 1}));
-  out.push_back(scenario("five", "three replicas, five members", withoutPackets(settled(five)),
+  out.push_back(scenario("five", "three replicas, five members", withoutPackets(caughtUp(five)),
                          {.offers = 1, .ticks = 6, .jumps = 2}));
   out.push_back(scenario("replaced", "a leader was frozen while the next one acknowledged a change",
                          replacedUnawares(threeAtOnce, 1), {.offers = 2, .ticks = 6, .jumps = 1, .crashes = 1}));
@@ -145,7 +145,7 @@
                          {.offers = 2, .ticks = 6, .jumps = 1, .crashes = 1}));
   Setup services = threeAtOnce;
   services.services = true;
-  out.push_back(scenario("orders", "two operators, orders, repetitions and reads", withoutPackets(settled(services)),
+  out.push_back(scenario("orders", "two operators, orders, repetitions and reads", withoutPackets(caughtUp(services)),
                          {.offers = 4, .reads = 1, .ticks = 6, .jumps = 1, .crashes = 1}));
   out.push_back(scenario("orders-replaced", "two operators call a replaced leader and its successor",
                          replacedUnawares(services, 1), {.offers = 4, .reads = 2, .ticks = 6, .jumps = 1}));
@@ -178,12 +178,12 @@
   Setup five;
   five.members = 5;
   five.machineLosses = 2;
-  five.mostPackets = 40;
+  five.maxPackets = 40;
   std::vector<Scenario> out;
-  out.push_back(scenario("walk-3", "three members, all faults", settled(three), mixed));
+  out.push_back(scenario("walk-3", "three members, all faults", caughtUp(three), mixed));
   out.push_back(scenario("walk-founding", "three members from the first start", World(three, {}), mixed));
-  out.push_back(scenario("walk-4", "three members and a spare, one replaced", settled(four), replaced));
-  out.push_back(scenario("walk-5", "five members, three replicas", settled(five), mixed));
+  out.push_back(scenario("walk-4", "three members and a spare, one replaced", caughtUp(four), replaced));
+  out.push_back(scenario("walk-5", "five members, three replicas", caughtUp(five), mixed));
   Budget const shortFaults{.offers = 3, .ticks = 40, .jumps = 1, .crashes = 2, .duplicates = 2, .drops = 4, .cuts = 1};
   Setup quiet;
   quiet.heartbeats = false;
@@ -194,27 +194,28 @@
   Setup orders = three;
   orders.services = true;
   Setup forgetful = orders;
-  forgetful.mostReceipts = 2;
+  forgetful.maxReceipts = 2;
   Budget called = mixed;
   called.offers = 100;
   called.reads = 40;
-  out.push_back(scenario("walk-orders", "two operators call three members, all faults", settled(orders), called));
-  out.push_back(scenario("walk-receipts", "the same, with two receipts", settled(forgetful), called));
+  out.push_back(scenario("walk-orders", "two operators call three members, all faults", caughtUp(orders), called));
+  out.push_back(scenario("walk-receipts", "the same, with two receipts", caughtUp(forgetful), called));
   Setup ordersFive = five;
   ordersFive.services = true;
-  out.push_back(scenario("walk-orders-5", "two operators call five members", settled(ordersFive), called));
+  out.push_back(scenario("walk-orders-5", "two operators call five members", caughtUp(ordersFive), called));
   Setup delivery = orders;
   delivery.nodes = 3;
-  delivery.mostPackets = 80;
+  delivery.maxPackets = 80;
   Budget followed = called;
   followed.ticks = 1500;
   followed.offers = 30;
   followed.jumps = 3;
   followed.cuts = 8;
-  out.push_back(scenario("walk-nodes", "three members and three nodes that follow", settled(delivery), followed, 1200));
+  out.push_back(
+      scenario("walk-nodes", "three members and three nodes that follow", caughtUp(delivery), followed, 1200));
   Setup deliveryFive = delivery;
   deliveryFive.nodes = 5;
-  out.push_back(scenario("walk-nodes-5", "three members and five nodes", settled(deliveryFive), followed, 1500));
+  out.push_back(scenario("walk-nodes-5", "three members and five nodes", caughtUp(deliveryFive), followed, 1500));
   return out;
 }
 
--- a/testside/explorer/search.cpp
+++ b/testside/explorer/search.cpp
@@ -89,7 +89,7 @@
     report.finding = Finding{start.violation(), {}};
     return report;
   }
-  while (!level.empty() && report.depth < bounds.mostDepth) {
+  while (!level.empty() && report.depth < bounds.maxDepth) {
     ++report.depth;
     std::vector<Unexpanded> next;
     for (Unexpanded const& from : level) {
@@ -115,7 +115,7 @@
           report.finding = Finding{violation, traceTo(visited, index)};
           return report;
         }
-        if (visited.size() < bounds.mostStates) {
+        if (visited.size() < bounds.maxStates) {
           next.push_back({std::move(world), index});
         } else {
           withinBounds = false;
--- a/testside/explorer/search.h
+++ b/testside/explorer/search.h
@@ -15,8 +15,8 @@
 };
 
 struct SearchBounds {
-  std::size_t mostStates = 100'000;
-  std::size_t mostDepth = 100;
+  std::size_t maxStates = 100'000;
+  std::size_t maxDepth = 100;
   /// Of every so many visited states one runs the recovery schedule to its end; none with 0.
   std::size_t recoverEvery = 0;
 };
--- a/testside/explorer/world.cpp
+++ b/testside/explorer/world.cpp
@@ -127,13 +127,13 @@
     case ActionKind::crash:
       return member.up && budget_.crashes > 0 && action.detail <= member.unsynced.size();
     case ActionKind::restart:
-      return !member.up || (member.retiring && member.group.retired());
+      return !member.up || (member.shuttingDown && member.group.mayShutDown());
     case ActionKind::wipe:
       return budget_.wipes > 0;
     case ActionKind::replace:
       return budget_.replacements > 0;
-    case ActionKind::retire:
-      return member.up && !member.retiring && budget_.retirements > 0;
+    case ActionKind::beginShutdown:
+      return member.up && !member.shuttingDown && budget_.retirements > 0;
     case ActionKind::offer:
       return budget_.offers > 0 && mayCall(action.subject, action.detail);
     case ActionKind::read:
@@ -161,8 +161,9 @@
     for (std::size_t caller = 0; caller < operatorCount; ++caller) {
       out.push_back({ActionKind::offer, subject, static_cast<std::uint8_t>(caller)});
     }
-    for (ActionKind const kind : {ActionKind::sync, ActionKind::read, ActionKind::tick, ActionKind::jump,
-                                  ActionKind::restart, ActionKind::retire, ActionKind::wipe, ActionKind::replace}) {
+    for (ActionKind const kind :
+         {ActionKind::sync, ActionKind::read, ActionKind::tick, ActionKind::jump, ActionKind::restart,
+          ActionKind::beginShutdown, ActionKind::wipe, ActionKind::replace}) {
       out.push_back({kind, subject, 0});
     }
     for (std::size_t kept = 0; kept <= members_[index]->unsynced.size(); ++kept) {
@@ -175,7 +176,8 @@
     }
   }
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
-    for (ActionKind const kind : {ActionKind::tick, ActionKind::crash, ActionKind::restart, ActionKind::retire}) {
+    for (ActionKind const kind :
+         {ActionKind::tick, ActionKind::crash, ActionKind::restart, ActionKind::beginShutdown}) {
       out.push_back({kind, static_cast<std::uint8_t>(members_.size() + node), 0});
     }
   }
@@ -241,11 +243,11 @@
     case ActionKind::heal:
       healLinks();
       return;
-    case ActionKind::retire:
+    case ActionKind::beginShutdown:
       spend(budget_.retirements);
-      change(index).retiring = true;
-      drivePlane(index, control::Retire{});
-      step(index, replication::Retire{});
+      change(index).shuttingDown = true;
+      drivePlane(index, control::BeginShutdown{});
+      step(index, replication::BeginShutdown{});
       return;
     case ActionKind::offer:
       spend(budget_.offers);
--- a/testside/explorer/world.h
+++ b/testside/explorer/world.h
@@ -52,10 +52,10 @@
   bool syncsAtOnce = false;
   /// Heartbeats are messages like all others. Without them members learn only from the other messages.
   bool heartbeats = true;
-  std::size_t mostPackets = 24;
+  std::size_t maxPackets = 24;
   /// Each member runs a control::Plane, which two operators call. Otherwise changes are offered to the group itself.
   bool services = false;
-  std::size_t mostReceipts = 256;
+  std::size_t maxReceipts = 256;
   /// Nodes that follow the configuration, each with a distribution::ConfigDelivery. What they promise is about time, so
   /// all clocks are one then: who is not stepped is frozen. For walks only: their state is not part of the digest.
   std::size_t nodes = 0;
@@ -86,13 +86,13 @@
   std::string zone;
   bool up = false;
   bool mayFound = true;
-  bool retiring = false;
+  bool shuttingDown = false;
   std::uint64_t life = 0;
   TimePoint clock{std::chrono::hours(1)};
   std::map<std::string, std::string> disk;
   std::vector<PendingWrite> unsynced;
-  replication::ReplicationGroup group{replication::Policy{}};
-  std::optional<control::Plane> plane;
+  replication::ReplicationGroup group{replication::ReplicationOptions{}};
+  std::optional<control::ConfigService> plane;
   std::vector<AcknowledgedMark> acknowledgedMarks;
   std::optional<std::uint64_t> digest;
 };
@@ -192,10 +192,10 @@
   void call(std::size_t index, std::size_t operatorNumber);
   void read(std::size_t index);
   bool mayCall(std::size_t index, std::size_t operatorNumber) const;
-  void propose(std::size_t index, replication::Offer offer);
-  void drivePlane(std::size_t index, control::Event const& event);
-  void step(std::size_t index, replication::Event const& event);
-  void carry(std::size_t index, replication::Effect const& effect);
+  void propose(std::size_t index, replication::Proposal offer);
+  void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
+  void step(std::size_t index, replication::GroupEvent const& event);
+  void carry(std::size_t index, replication::GroupEffect const& effect);
   void checkVote(std::size_t index, messages::Message const& message);
   void checkReads(std::size_t index);
   bool hasOneClock() const { return setup_.nodes > 0; }
--- a/testside/explorer/world_digest.cpp
+++ b/testside/explorer/world_digest.cpp
@@ -14,7 +14,7 @@
   digest.add(member.address);
   digest.add(member.up);
   digest.add(member.mayFound);
-  digest.add(member.retiring);
+  digest.add(member.shuttingDown);
   digest.add(member.life);
   digest.add(member.disk);
   for (PendingWrite const& write : member.unsynced) {
--- a/testside/explorer/world_members.cpp
+++ b/testside/explorer/world_members.cpp
@@ -6,8 +6,8 @@
   Member& member = change(index);
   ++member.life;
   member.up = true;
-  member.retiring = false;
-  member.group = replication::ReplicationGroup(replication::policyFor(setup_.machineLosses));
+  member.shuttingDown = false;
+  member.group = replication::ReplicationGroup(replication::optionsFor(setup_.machineLosses));
   if (setup_.services) {
     startPlane(member);
   }
@@ -25,7 +25,7 @@
   }
   member.unsynced.clear();
   member.up = false;
-  member.group = replication::ReplicationGroup(replication::Policy{});
+  member.group = replication::ReplicationGroup(replication::ReplicationOptions{});
   member.plane.reset();
 }
 
@@ -48,7 +48,7 @@
   for (std::pair<std::string, std::string> const& put : write.puts) {
     member.disk[put.first] = put.second;
   }
-  step(index, replication::Persisted{write.token, true});
+  step(index, replication::PersistFinished{write.token, true});
 }
 
 void World::tick(std::size_t index, Ms time) {
@@ -73,16 +73,16 @@
   }
   if (*to >= members_.size()) {
     deliverToNode(*to - members_.size(), *taken);
-  } else if (messages::Poll const* const poll = std::get_if<messages::Poll>(&taken->message)) {
-    drivePlane(*to, control::Polled{taken->fromAddress, *poll});
+  } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&taken->message)) {
+    drivePlane(*to, control::StateRequestReceived{taken->fromAddress, *poll});
   } else {
-    step(*to, replication::Received{taken->from, taken->fromAddress, taken->message});
+    step(*to, replication::MessageReceived{taken->from, taken->fromAddress, taken->message});
   }
 }
 
-void World::step(std::size_t index, replication::Event const& event) {
+void World::step(std::size_t index, replication::GroupEvent const& event) {
   Member& member = change(index);
-  for (replication::Effect const& effect : member.group.step(member.clock, event)) {
+  for (replication::GroupEffect const& effect : member.group.step(member.clock, event)) {
     carry(index, effect);
   }
   Member const& after = *members_[index];
@@ -114,16 +114,17 @@
 
 void World::checkVote(std::size_t index, messages::Message const& message) {
   Member const& member = *members_[index];
-  if (messages::Promise const* const promise = std::get_if<messages::Promise>(&message); promise && promise->granted) {
+  if (messages::PrepareResponse const* const promise = std::get_if<messages::PrepareResponse>(&message);
+      promise && promise->granted) {
     changeHistory().onVote(member.id, member.mayFound, promise->nextEpoch);
   }
-  if (messages::Accepted const* const accepted = std::get_if<messages::Accepted>(&message);
+  if (messages::AcceptResponse const* const accepted = std::get_if<messages::AcceptResponse>(&message);
       accepted && accepted->granted) {
     changeHistory().onVote(member.id, member.mayFound, accepted->nextEpoch);
   }
 }
 
-void World::carry(std::size_t index, replication::Effect const& effect) {
+void World::carry(std::size_t index, replication::GroupEffect const& effect) {
   if (replication::Send const* const message = std::get_if<replication::Send>(&effect)) {
     checkVote(index, message->message);
     sendTo(index, message->address, message->message);
@@ -136,13 +137,14 @@
       member.acknowledgedMarks.push_back({member.clock, history_->acknowledged.size()});
     }
     drivePlane(index, *committed);
-  } else if (replication::Active const* const active = std::get_if<replication::Active>(&effect)) {
+  } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
     changeHistory().onActive(members_[index]->id, active->epoch, active->state.document);
     drivePlane(index, *active);
-  } else if (std::holds_alternative<replication::Inactive>(effect)) {
-    drivePlane(index, replication::Inactive{});
-  } else if (replication::Doubtful const* const doubtful = std::get_if<replication::Doubtful>(&effect)) {
-    drivePlane(index, *doubtful);
+  } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
+    drivePlane(index, replication::SteppedDown{});
+  } else if (replication::OutcomeUnknown const* const outcomeUnknown =
+                 std::get_if<replication::OutcomeUnknown>(&effect)) {
+    drivePlane(index, *outcomeUnknown);
   }
 }
 
@@ -162,7 +164,7 @@
     });
   }
   packets_.push_back(packet);
-  if (packets_.size() > setup_.mostPackets) {
+  if (packets_.size() > setup_.maxPackets) {
     packets_.erase(packets_.begin());
   }
 }
--- a/testside/explorer/world_nodes.cpp
+++ b/testside/explorer/world_nodes.cpp
@@ -10,8 +10,9 @@
 /// How long after its acknowledgement an older version may still be served, as docs/control.md derives it.
 constexpr Ms inForceMs{2100};
 
-bool isServing(distribution::Standing standing) {
-  return standing == distribution::Standing::current || standing == distribution::Standing::upheld;
+bool isServing(distribution::ConfigFreshness freshness) {
+  return freshness == distribution::ConfigFreshness::confirmedByPrimary ||
+         freshness == distribution::ConfigFreshness::confirmedByMajority;
 }
 
 }  // namespace
@@ -25,7 +26,7 @@
       return node.up && budget_.crashes > 0;
     case ActionKind::restart:
       return !node.up;
-    case ActionKind::retire:
+    case ActionKind::beginShutdown:
       return node.up && budget_.retirements > 0;
     default:
       return false;
@@ -48,7 +49,7 @@
     case ActionKind::restart:
       startNode(index);
       return;
-    case ActionKind::retire:
+    case ActionKind::beginShutdown:
       --budget_.retirements;
       nodes_[index].delivery->leave();
       return;
@@ -63,7 +64,7 @@
   node.up = true;
   node.version = {};
   std::uint64_t const boot = 1000 * (index + 1) + node.life;
-  node.delivery.emplace(distribution::ConfigDeliveryPolicy{},
+  node.delivery.emplace(distribution::ConfigDeliveryOptions{},
                         messages::Follower{node.name, node.address, node.zone, 0, 0}, boot, boot);
 }
 
@@ -80,12 +81,12 @@
 
 void World::deliverToNode(std::size_t index, Packet const& packet) {
   distribution::ConfigDelivery& delivery = *nodes_[index].delivery;
-  if (messages::Poll const* const poll = std::get_if<messages::Poll>(&packet.message)) {
-    carry(index, delivery.hear(now_, packet.fromAddress, *poll));
-  } else if (messages::News const* const news = std::get_if<messages::News>(&packet.message)) {
-    carry(index, delivery.hear(now_, packet.fromAddress, *news));
+  if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&packet.message)) {
+    carry(index, delivery.onMessage(now_, packet.fromAddress, *poll));
+  } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&packet.message)) {
+    carry(index, delivery.onMessage(now_, packet.fromAddress, *response));
   } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&packet.message)) {
-    carry(index, delivery.hear(now_, packet.fromAddress, *update));
+    carry(index, delivery.onMessage(now_, packet.fromAddress, *update));
   }
 }
 
@@ -107,7 +108,7 @@
     changeHistory().fail(node.name + " goes back from " + node.version.text() + " to " + version.text());
   }
   node.version = version;
-  if (!isServing(node.delivery->status(now_).standing)) {
+  if (!isServing(node.delivery->status(now_).freshness)) {
     return;
   }
   for (Acknowledgement const& acknowledged : acknowledgements_) {
@@ -124,12 +125,12 @@
   if (!to || *to < members_.size() || cuts_.contains({index, *to}) || cuts_.contains({*to, index})) {
     return;
   }
-  drivePlane(index, control::Probed{probe.token, !isUp(*to) || nameOf(*to) != probe.node});
+  drivePlane(index, control::ProbeFinished{probe.token, !isUp(*to) || nameOf(*to) != probe.node});
 }
 
 bool World::allServeNewest() const {
   return std::all_of(nodes_.begin(), nodes_.end(), [this](Node const& node) {
-    return node.up && isServing(node.delivery->status(now_).standing) && node.delivery->state() &&
+    return node.up && isServing(node.delivery->status(now_).freshness) && node.delivery->state() &&
            node.delivery->state()->document.size() >= history_->acknowledged.size();
   });
 }
--- a/testside/explorer/world_operators.cpp
+++ b/testside/explorer/world_operators.cpp
@@ -24,8 +24,8 @@
 }  // namespace
 
 void World::startPlane(Member& member) const {
-  control::Policy policy;
-  policy.mostReceipts = setup_.mostReceipts;
+  control::ConfigServiceOptions policy;
+  policy.maxReceipts = setup_.maxReceipts;
   member.plane.emplace(policy, member.id, appendingLanguage());
 }
 
@@ -40,11 +40,11 @@
   propose(index, {ticket, std::move(state)});
 }
 
-void World::propose(std::size_t index, replication::Offer offer) {
-  bool const retiring = members_[index]->retiring;
+void World::propose(std::size_t index, replication::Proposal offer) {
+  bool const shuttingDown = members_[index]->shuttingDown;
   std::string const before = members_[index]->group.state().document;
   step(index, std::move(offer));
-  if (retiring && members_[index]->group.state().document != before) {
+  if (shuttingDown && members_[index]->group.state().document != before) {
     changeHistory().fail(members_[index]->id + " is told to end and takes a new change");
   }
 }
@@ -95,21 +95,21 @@
   drivePlane(index, control::Read{ticket, member.clock + callMs});
 }
 
-void World::drivePlane(std::size_t index, control::Event const& event) {
+void World::drivePlane(std::size_t index, control::ConfigServiceEvent const& event) {
   if (!members_[index]->plane) {
     return;
   }
   Member& member = change(index);
-  std::vector<control::Effect> const effects = member.plane->step(member.clock, member.group, event);
-  for (control::Effect const& effect : effects) {
-    if (replication::Offer const* const offer = std::get_if<replication::Offer>(&effect)) {
+  std::vector<control::ConfigServiceEffect> const effects = member.plane->step(member.clock, member.group, event);
+  for (control::ConfigServiceEffect const& effect : effects) {
+    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
       propose(index, *offer);
-    } else if (control::Decided const* const decided = std::get_if<control::Decided>(&effect)) {
+    } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
       changeHistory().onAnswer(members_[index]->id, *decided, members_[index]->plane->published());
-      if (decided->verdict == control::Verdict::taken) {
+      if (decided->verdict == control::OrderStatus::taken) {
         acknowledgements_.push_back({decided->version, now_});
       }
-    } else if (control::ReadBack const* const readBack = std::get_if<control::ReadBack>(&effect)) {
+    } else if (control::ConfigurationRead const* const readBack = std::get_if<control::ConfigurationRead>(&effect)) {
       changeHistory().onReadBack(members_[index]->id, members_[index]->group.decided().epoch, *readBack);
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
       sendTo(index, outgoing->address, outgoing->message);
--- a/testside/explorer/world_recovery.cpp
+++ b/testside/explorer/world_recovery.cpp
@@ -6,7 +6,7 @@
 
 /// How long a member that was told to end waits for its successor.
 constexpr Ms leaveGraceMs{3000};
-constexpr std::size_t mostDeliveriesInRound = 400;
+constexpr std::size_t maxDeliveriesInRound = 400;
 
 char const* kindOf(messages::Message const& message) {
   return std::visit([](auto const& concrete) { return std::decay_t<decltype(concrete)>::name; }, message);
@@ -18,7 +18,7 @@
   std::optional<std::size_t> best;
   for (std::size_t index = 0; index < members_.size(); ++index) {
     Member const& member = *members_[index];
-    if (member.up && !member.retiring && member.group.active() &&
+    if (member.up && !member.shuttingDown && member.group.active() &&
         (!best || member.group.decided().epoch > members_[*best]->group.decided().epoch)) {
       best = index;
     }
@@ -39,7 +39,7 @@
     }
   }
   std::size_t skipped = 0;
-  for (std::size_t delivered = 0; skipped < packets_.size() && delivered < mostDeliveriesInRound; ++delivered) {
+  for (std::size_t delivered = 0; skipped < packets_.size() && delivered < maxDeliveriesInRound; ++delivered) {
     std::optional<std::size_t> const to = indexAt(packets_[skipped]->toAddress);
     bool const reaches = !to || !round.frozen.contains(*to);
     if (!reaches || (round.delivers != nullptr && !round.delivers(*packets_[skipped]))) {
@@ -58,12 +58,12 @@
 std::string World::recover(Ms bound) {
   healLinks();
   setup_.heartbeats = true;
-  setup_.mostPackets = mostDeliveriesInRound;
+  setup_.maxPackets = maxDeliveriesInRound;
   std::size_t const before = history_->acknowledged.size();
   for (Ms passed{0}; passed < bound && violation().empty(); passed += Round{}.time) {
     for (std::size_t index = 0; index < members_.size(); ++index) {
       Member const& member = *members_[index];
-      if (!member.up || (member.retiring && (member.group.retired() || passed >= leaveGraceMs))) {
+      if (!member.up || (member.shuttingDown && (member.group.mayShutDown() || passed >= leaveGraceMs))) {
         crash(index, member.unsynced.size());
         start(index);
       }
@@ -91,7 +91,7 @@
   std::string out;
   for (std::shared_ptr<Member> const& member : members_) {
     messages::EpochRecord const& decided = member->group.decided();
-    out += "\n  " + member->id + (member->up ? "" : " down") + (member->retiring ? " retiring" : "") + " at " +
+    out += "\n  " + member->id + (member->up ? "" : " down") + (member->shuttingDown ? " retiring" : "") + " at " +
            member->address + ", epoch " + std::to_string(decided.epoch) + " fenced " +
            std::to_string(member->group.fenced()) + (member->group.active() ? " active" : "") + " primary " +
            decided.primary + " backups";
--- a/testside/load_generator.cpp
+++ b/testside/load_generator.cpp
@@ -34,8 +34,8 @@
   std::size_t records = 20;
   std::size_t bodyBytes = 0;
   double share = 1;
-  long leastMs = 250;
-  long mostMs = 500;
+  long minMs = 250;
+  long maxMs = 500;
 };
 
 struct Gate {
@@ -136,7 +136,7 @@
   net::Address const gate = run.gates[able[run.random() % able.size()]].address;
   std::uint64_t const number = ++run.lastId;
   long const deadlineMs =
-      call.leastMs + static_cast<long>(run.random() % static_cast<std::uint64_t>(call.mostMs - call.leastMs + 1));
+      call.minMs + static_cast<long>(run.random() % static_cast<std::uint64_t>(call.maxMs - call.minMs + 1));
   std::string const id = run.name + "-" + std::to_string(number);
   net::Request request;
   request.method = call.method;
@@ -257,8 +257,8 @@
       call.records = inner.whole("records", 20, 1, 10'000);
       call.bodyBytes = inner.whole("body_bytes", 0, 0, 100'000);
       call.share = inner.number("share", 1.0, 0, 1000);
-      call.leastMs = static_cast<long>(inner.whole("least_ms", 250, 1, 60'000));
-      call.mostMs = static_cast<long>(inner.whole("most_ms", 500, 1, 60'000));
+      call.minMs = static_cast<long>(inner.whole("least_ms", 250, 1, 60'000));
+      call.maxMs = static_cast<long>(inner.whole("most_ms", 500, 1, 60'000));
       run.calls.push_back(std::move(call));
     });
     reader.rejectUnknown();
--- a/testside/simulator/fleet_simulation.cpp
+++ b/testside/simulator/fleet_simulation.cpp
@@ -9,15 +9,16 @@
 constexpr std::size_t exchangeBytes = 220;
 
 std::size_t sizeOf(messages::Message const& message) {
-  return messages::seal({"0123456789abcdef", "machine-in-a-zone-1/01234567", "10.101.102.103:7081", message}).size() +
+  return messages::encodeEnvelope({"0123456789abcdef", "machine-in-a-zone-1/01234567", "10.101.102.103:7081", message})
+             .size() +
          exchangeBytes;
 }
 
 std::string kindOf(messages::Message const& message) {
-  messages::News const* const news = std::get_if<messages::News>(&message);
+  messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&message);
   std::string const name =
       std::visit([](auto const& concrete) -> std::string { return std::decay_t<decltype(concrete)>::name; }, message);
-  return news != nullptr && news->state ? name + " with state" : name;
+  return response != nullptr && response->state ? name + " with state" : name;
 }
 
 }  // namespace
@@ -69,7 +70,7 @@
   ++machine.life;
   if (machine.gateway) {
     SimulatedGateway& gateway = *machine.gateway;
-    gateway.delivery.emplace(distribution::ConfigDeliveryPolicy{},
+    gateway.delivery.emplace(distribution::ConfigDeliveryOptions{},
                              messages::Follower{gateway.node, gateway.address, gateway.zone, 0, 0},
                              network.random()() | 1, network.random()());
     gateway.version = {};
@@ -77,8 +78,8 @@
     SimulatedController& controller = *machine.controller;
     controller.unsynced.clear();
     controller.diskFails = false;
-    controller.group.emplace(replication::Policy{});
-    controller.plane.emplace(control::Policy{}, controller.id, language);
+    controller.group.emplace(replication::ReplicationOptions{});
+    controller.plane.emplace(control::ConfigServiceOptions{}, controller.id, language);
     step(index, replication::Start{{controller.id, controller.address, controller.zone},
                                    controller.disk,
                                    network.random()(),
@@ -124,10 +125,10 @@
   std::function<void(bool)> const tell = [this, from, life, token = wanted.token](bool gone) {
     network.after(std::chrono::microseconds(200 + network.roll(3'000)), [this, from, life, token, gone] {
       if (machines[from].up && machines[from].life == life) {
-        std::function<void()> const hear = [this, from, token, gone] {
-          drivePlane(from, control::Probed{token, gone});
+        std::function<void()> const onMessage = [this, from, token, gone] {
+          drivePlane(from, control::ProbeFinished{token, gone});
         };
-        machines[from].frozen ? machines[from].thawWork.push_back(hear) : hear();
+        machines[from].frozen ? machines[from].thawWork.push_back(onMessage) : onMessage();
       }
     });
   };
@@ -179,8 +180,9 @@
   if (!machine.up || machine.frozen || !machine.gateway) {
     return false;
   }
-  distribution::Standing const standing = machine.gateway->delivery->status(network.now()).standing;
-  return standing == distribution::Standing::current || standing == distribution::Standing::upheld;
+  distribution::ConfigFreshness const freshness = machine.gateway->delivery->status(network.now()).freshness;
+  return freshness == distribution::ConfigFreshness::confirmedByPrimary ||
+         freshness == distribution::ConfigFreshness::confirmedByMajority;
 }
 
 std::string FleetSimulation::picture() const {
@@ -190,7 +192,7 @@
     if (machine.gateway) {
       std::optional<messages::State> const& state = machine.gateway->delivery->state();
       out += "\n" + machine.gateway->node + end + " " + machine.gateway->address + " standing " +
-             std::to_string(static_cast<int>(machine.gateway->delivery->status(network.now()).standing)) + " at " +
+             std::to_string(static_cast<int>(machine.gateway->delivery->status(network.now()).freshness)) + " at " +
              (state ? config::Version{state->epoch, state->sequence}.text() : "-");
       continue;
     }
@@ -205,7 +207,7 @@
       }
       for (control::NodeView const& node : machine.controller->plane->nodes(network.now())) {
         out += "\n    " + node.node + " " + node.address + " confirmed " + node.confirmed.text() + " heard " +
-               std::to_string(node.heardMs.count()) + (node.gone ? " gone" : "");
+               std::to_string(node.sinceReportMs.count()) + (node.gone ? " gone" : "");
       }
     }
   }
@@ -253,7 +255,8 @@
     return;
   }
   ++served;
-  upheld += gateway.delivery->status(network.now()).standing == distribution::Standing::upheld ? 1 : 0;
+  confirmedByMajority +=
+      gateway.delivery->status(network.now()).freshness == distribution::ConfigFreshness::confirmedByMajority ? 1 : 0;
   for (std::pair<config::Version const, TimePoint> const& entry : acknowledged_) {
     if (entry.first > gateway.version && network.now() > entry.second + inForceMs) {
       complain(gateway.node + " serves under " + gateway.version.text() + " later than 2.1 s after " +
@@ -377,24 +380,24 @@
   Machine& machine = machines[to];
   std::string const address = machines[from].address();
   if (machine.gateway) {
-    if (messages::Poll const* const poll = std::get_if<messages::Poll>(&message)) {
-      follow(to, machine.gateway->delivery->hear(network.now(), address, *poll));
-    } else if (messages::News const* const news = std::get_if<messages::News>(&message)) {
-      follow(to, machine.gateway->delivery->hear(network.now(), address, *news));
+    if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&message)) {
+      follow(to, machine.gateway->delivery->onMessage(network.now(), address, *poll));
+    } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&message)) {
+      follow(to, machine.gateway->delivery->onMessage(network.now(), address, *response));
     } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&message)) {
-      follow(to, machine.gateway->delivery->hear(network.now(), address, *update));
+      follow(to, machine.gateway->delivery->onMessage(network.now(), address, *update));
     }
-  } else if (messages::Poll const* const poll = std::get_if<messages::Poll>(&message)) {
-    drivePlane(to, control::Polled{address, *poll});
+  } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&message)) {
+    drivePlane(to, control::StateRequestReceived{address, *poll});
   } else if (machines[from].controller) {
-    step(to, replication::Received{machines[from].controller->id, address, message});
+    step(to, replication::MessageReceived{machines[from].controller->id, address, message});
   }
 }
 
-void FleetSimulation::step(std::size_t index, replication::Event const& event) {
+void FleetSimulation::step(std::size_t index, replication::GroupEvent const& event) {
   SimulatedController& controller = *machines[index].controller;
   std::uint64_t const life = machines[index].life;
-  for (replication::Effect const& effect : controller.group->step(network.now(), event)) {
+  for (replication::GroupEffect const& effect : controller.group->step(network.now(), event)) {
     if (replication::Send const* const outgoing = std::get_if<replication::Send>(&effect)) {
       send(index, outgoing->address, outgoing->message);
     } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
@@ -406,7 +409,7 @@
         }
         SimulatedController& owner = *machines[index].controller;
         if (owner.diskFails) {
-          step(index, replication::Persisted{token, false});
+          step(index, replication::PersistFinished{token, false});
           return;
         }
         while (!owner.unsynced.empty() && owner.unsynced.front().first <= token) {
@@ -416,7 +419,7 @@
             owner.disk[put.first] = put.second;
           }
           std::function<void()> const tell = [this, index, done] {
-            step(index, replication::Persisted{done.first, true});
+            step(index, replication::PersistFinished{done.first, true});
           };
           if (machines[index].frozen) {
             machines[index].thawWork.push_back(tell);
@@ -427,34 +430,35 @@
       });
     } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
       drivePlane(index, *committed);
-    } else if (replication::Doubtful const* const doubtful = std::get_if<replication::Doubtful>(&effect)) {
-      drivePlane(index, *doubtful);
-    } else if (replication::Active const* const active = std::get_if<replication::Active>(&effect)) {
+    } else if (replication::OutcomeUnknown const* const outcomeUnknown =
+                   std::get_if<replication::OutcomeUnknown>(&effect)) {
+      drivePlane(index, *outcomeUnknown);
+    } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
       drivePlane(index, *active);
-    } else if (std::holds_alternative<replication::Inactive>(effect)) {
-      drivePlane(index, replication::Inactive{});
+    } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
+      drivePlane(index, replication::SteppedDown{});
     }
   }
 }
 
-void FleetSimulation::drivePlane(std::size_t index, control::Event const& event) {
+void FleetSimulation::drivePlane(std::size_t index, control::ConfigServiceEvent const& event) {
   SimulatedController& controller = *machines[index].controller;
-  for (control::Effect const& effect : controller.plane->step(network.now(), *controller.group, event)) {
-    if (replication::Offer const* const offer = std::get_if<replication::Offer>(&effect)) {
+  for (control::ConfigServiceEffect const& effect : controller.plane->step(network.now(), *controller.group, event)) {
+    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
       step(index, *offer);
-    } else if (control::Decided const* const decided = std::get_if<control::Decided>(&effect)) {
+    } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
       answers[decided->ticket] = {*decided, network.now()};
       if (onDecided) {
         onDecided(*decided);
       }
-      if (decided->verdict == control::Verdict::taken && decided->version != config::Version{}) {
+      if (decided->verdict == control::OrderStatus::taken && decided->version != config::Version{}) {
         acknowledged_.emplace(decided->version, network.now());
       }
-      if (decided->verdict == control::Verdict::taken && orders_.contains(decided->ticket)) {
+      if (decided->verdict == control::OrderStatus::taken && orders_.contains(decided->ticket)) {
         control::ZoneOrder const& order = orders_.at(decided->ticket);
         orderedZones_[order.zone] = {order, network.now()};
       }
-    } else if (control::ReadBack const* const back = std::get_if<control::ReadBack>(&effect)) {
+    } else if (control::ConfigurationRead const* const back = std::get_if<control::ConfigurationRead>(&effect)) {
       if (back->version < newestAcknowledged()) {
         complain(controller.id + " reads back " + back->version.text() + " after " + newestAcknowledged().text());
       }
@@ -465,13 +469,13 @@
       probe(index, *wanted);
     }
   }
-  if (onPublished &&
-      (std::holds_alternative<replication::Committed>(event) || std::holds_alternative<replication::Active>(event))) {
+  if (onPublished && (std::holds_alternative<replication::Committed>(event) ||
+                      std::holds_alternative<replication::BecamePrimary>(event))) {
     onPublished(controller.plane->published());
   }
 }
 
-void FleetSimulation::submit(std::size_t index, control::Event const& event) {
+void FleetSimulation::submit(std::size_t index, control::ConfigServiceEvent const& event) {
   control::Change const* const change = std::get_if<control::Change>(&event);
   if (change != nullptr && change->zone) {
     orders_.emplace(change->ticket, *change->zone);
@@ -479,9 +483,9 @@
   drivePlane(index, event);
 }
 
-void FleetSimulation::retire(std::size_t index) {
-  drivePlane(index, control::Retire{});
-  step(index, replication::Retire{});
+void FleetSimulation::beginShutdown(std::size_t index) {
+  drivePlane(index, control::BeginShutdown{});
+  step(index, replication::BeginShutdown{});
 }
 
 std::optional<std::uint64_t> FleetSimulation::forget(std::vector<std::string> const& nodes) {
@@ -490,7 +494,7 @@
     return std::nullopt;
   }
   std::uint64_t const ticket = ++lastTicket_;
-  drivePlane(*index, control::Forget{ticket, nodes, network.now() + Ms(8000)});
+  drivePlane(*index, control::RemoveNodes{ticket, nodes, network.now() + Ms(8000)});
   return ticket;
 }
 
--- a/testside/simulator/fleet_simulation.h
+++ b/testside/simulator/fleet_simulation.h
@@ -28,7 +28,7 @@
   std::string address;
   std::string zone;
   std::optional<replication::ReplicationGroup> group;
-  std::optional<control::Plane> plane;
+  std::optional<control::ConfigService> plane;
   std::map<std::string, std::string> disk;
   std::vector<std::pair<std::uint64_t, replication::Puts>> unsynced;
   bool diskFails = false;
@@ -55,7 +55,7 @@
 };
 
 struct Answered {
-  control::Decided decided;
+  control::OrderOutcome decided;
   TimePoint at;
 };
 
@@ -67,11 +67,11 @@
   std::vector<Machine> machines;
   std::vector<std::string> complaints;
   std::map<std::uint64_t, Answered> answers;
-  std::map<std::uint64_t, control::ReadBack> readBacks;
+  std::map<std::uint64_t, control::ConfigurationRead> readBacks;
   config::Language language = config::ownLanguage();
   std::size_t served = 0;
   std::size_t withheld = 0;
-  std::size_t upheld = 0;
+  std::size_t confirmedByMajority = 0;
   std::size_t messages = 0;
   bool weighs = false;
   std::map<std::size_t, std::size_t> bytesAcrossZones;
@@ -101,16 +101,16 @@
   std::optional<std::uint64_t> order(std::string const& zone, bool evacuated);
   std::uint64_t read(std::size_t index, Ms wait);
   /// Hands an operator's event to the configuration service of one machine, whether it is primary or not.
-  void submit(std::size_t index, control::Event const& event);
+  void submit(std::size_t index, control::ConfigServiceEvent const& event);
   /// An order that contradicts the last one acknowledged for this zone is on its way.
   void expectNothingOf(std::string const& zone) { orderedZones_.erase(zone); }
-  void submitToGroup(std::size_t index, replication::Event const& event) { step(index, event); }
+  void submitToGroup(std::size_t index, replication::GroupEvent const& event) { step(index, event); }
   std::uint64_t nextTicket() { return ++lastTicket_; }
   /// Told each answer of a configuration service, and each state that one publishes.
-  std::function<void(control::Decided const&)> onDecided;
+  std::function<void(control::OrderOutcome const&)> onDecided;
   std::function<void(messages::State const&)> onPublished;
   /// Tells a controller that its process will be stopped, as SIGTERM does.
-  void retire(std::size_t index);
+  void beginShutdown(std::size_t index);
   bool isCut(std::size_t from, std::size_t to) const { return cuts_.contains({from, to}); }
   std::optional<std::uint64_t> forget(std::vector<std::string> const& nodes);
   std::optional<std::size_t> primary() const;
@@ -123,8 +123,8 @@
   }
 
  private:
-  void step(std::size_t index, replication::Event const& event);
-  void drivePlane(std::size_t index, control::Event const& event);
+  void step(std::size_t index, replication::GroupEvent const& event);
+  void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
   void send(std::size_t from, std::string const& address, messages::Message const& message);
   void probe(std::size_t from, control::Probe const& probe);
   void arrive(std::size_t to, std::uint64_t life, std::size_t from, std::size_t bytes,
--- a/testside/simulator/operator_simulation.cpp
+++ b/testside/simulator/operator_simulation.cpp
@@ -8,17 +8,17 @@
 constexpr Ms tickMs{20};
 constexpr Ms refusedConnectionMs{2};
 
-Reply replyOf(control::Verdict verdict) {
+Reply replyOf(control::OrderStatus verdict) {
   switch (verdict) {
-    case control::Verdict::taken:
+    case control::OrderStatus::taken:
       return Reply::taken;
-    case control::Verdict::refused:
+    case control::OrderStatus::refused:
       return Reply::refused;
-    case control::Verdict::conflict:
+    case control::OrderStatus::conflict:
       return Reply::conflict;
-    case control::Verdict::notRun:
+    case control::OrderStatus::notRun:
       return Reply::notRun;
-    case control::Verdict::unknown:
+    case control::OrderStatus::unknown:
       return Reply::unknown;
   }
   return Reply::unknown;
@@ -36,7 +36,7 @@
 }  // namespace
 
 OperatorSimulation::OperatorSimulation(FleetSimulation& fleet) : fleet_(fleet) {
-  fleet_.onDecided = [this](control::Decided const& answer) { decided(answer); };
+  fleet_.onDecided = [this](control::OrderOutcome const& answer) { decided(answer); };
   fleet_.onPublished = [this](messages::State const& state) {
     for (std::pair<std::string const, control::Change> const& order : orders_) {
       if (!order.second.zone && order.second.body == state.document) {
@@ -113,7 +113,7 @@
   if (!forwarder.relay || forwarder.life != fleet_.machines[machine].life) {
     forwarder = {};
     forwarder.life = fleet_.machines[machine].life;
-    forwarder.relay.emplace(control::RelayPolicy{}, 0);
+    forwarder.relay.emplace(control::RelayOptions{}, 0);
   }
   return forwarder;
 }
@@ -133,7 +133,7 @@
   forwarder.calls.emplace(ticket, call);
   forwarder.orders.emplace(ticket, wanted);
   driveRelay(machine, control::RelayPrimary{primaryAddress(machine)});
-  driveRelay(machine, control::RelayAsked{ticket, deadline});
+  driveRelay(machine, control::RelayRequested{ticket, deadline});
 }
 
 void OperatorSimulation::driveRelay(std::size_t machine, control::RelayEvent const& event, std::optional<Reply> reply) {
@@ -149,7 +149,7 @@
       send(machine, *wanted);
     } else if (control::RelayDone const* const done = std::get_if<control::RelayDone>(&effect)) {
       answer(done->ticket, reply.value());
-    } else if (control::Decided const* const decided = std::get_if<control::Decided>(&effect)) {
+    } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
       answer(decided->ticket, replyOf(decided->verdict));
     }
   }
@@ -189,12 +189,12 @@
       return;
     }
     atMachine(visit.from, [this, visit, reply] {
-      driveRelay(visit.from, control::RelayReturned{visit.relayTicket, visit.attempt, outcomeOf(reply)}, reply);
+      driveRelay(visit.from, control::RelayAttemptFinished{visit.relayTicket, visit.attempt, outcomeOf(reply)}, reply);
     });
   });
 }
 
-void OperatorSimulation::decided(control::Decided const& decided) {
+void OperatorSimulation::decided(control::OrderOutcome const& decided) {
   std::map<std::uint64_t, Visit>::iterator const found = visits_.find(decided.ticket);
   if (found == visits_.end()) {
     return;
--- a/testside/simulator/operator_simulation.h
+++ b/testside/simulator/operator_simulation.h
@@ -77,7 +77,7 @@
   void driveRelay(std::size_t machine, control::RelayEvent const& event, std::optional<Reply> reply = {});
   void send(std::size_t machine, control::RelaySend const& wanted);
   void returnTo(Visit const& visit, Reply reply, std::size_t answering);
-  void decided(control::Decided const& decided);
+  void decided(control::OrderOutcome const& decided);
   void finish(std::size_t call, Reply reply);
   void tick();
   void atMachine(std::size_t machine, std::function<void()> work);
--- a/testside/simulator/replication_simulation.cpp
+++ b/testside/simulator/replication_simulation.cpp
@@ -21,7 +21,7 @@
 
 void ReplicationSimulation::start(std::size_t index) {
   SimulatedMember& node = nodes[index];
-  node.group = replication::ReplicationGroup(replication::policyFor(machineLosses_));
+  node.group = replication::ReplicationGroup(replication::optionsFor(machineLosses_));
   node.up = true;
   node.frozen = false;
   node.diskStuck = false;
@@ -93,8 +93,8 @@
   network.after(Ms(20), [this, index, life] { tick(index, life); });
 }
 
-void ReplicationSimulation::step(std::size_t index, replication::Event const& event) {
-  for (replication::Effect const& effect : nodes[index].group.step(network.now(), event)) {
+void ReplicationSimulation::step(std::size_t index, replication::GroupEvent const& event) {
+  for (replication::GroupEffect const& effect : nodes[index].group.step(network.now(), event)) {
     carry(index, effect);
   }
   checkLeadershipConfirmation();
@@ -124,14 +124,14 @@
   }
 }
 
-void ReplicationSimulation::carry(std::size_t index, replication::Effect const& effect) {
+void ReplicationSimulation::carry(std::size_t index, replication::GroupEffect const& effect) {
   std::uint64_t const life = nodes[index].life;
   if (replication::Send const* const send = std::get_if<replication::Send>(&effect)) {
     for (std::size_t to = 0; to < nodes.size(); ++to) {
       if (nodes[to].address != send->address || cuts_.contains({index, to}) || network.chance(loss_)) {
         continue;
       }
-      replication::Received const event{nodes[index].id, nodes[index].address, send->message};
+      replication::MessageReceived const event{nodes[index].id, nodes[index].address, send->message};
       std::uint64_t const target = nodes[to].life;
       std::size_t const copies = network.chance(loss_ / 2) ? 2 : 1;
       for (std::size_t copy = 0; copy < copies; ++copy) {
@@ -164,9 +164,9 @@
           node.disk[put.first] = put.second;
         }
         if (node.frozen) {
-          node.thawWork.push_back([this, index, done] { step(index, replication::Persisted{done.first, true}); });
+          node.thawWork.push_back([this, index, done] { step(index, replication::PersistFinished{done.first, true}); });
         } else {
-          step(index, replication::Persisted{done.first, true});
+          step(index, replication::PersistFinished{done.first, true});
         }
         if (node.life != life) {
           return;
@@ -180,14 +180,14 @@
                           [](std::string const& left, std::string const& right) { return left.size() < right.size(); });
     firstCommit_.emplace(committed->state.epoch, network.now());
     ++commits;
-  } else if (replication::Active const* const active = std::get_if<replication::Active>(&effect)) {
+  } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
     witness(index, active->state, "begins with");
     fleets.insert(nodes[index].group.decided().fleet);
     ++takeovers;
   } else if (replication::NewGroupForced const* const newGroupForced =
                  std::get_if<replication::NewGroupForced>(&effect)) {
     refusal_ = newGroupForced->refusal;
-  } else if (std::holds_alternative<replication::Doubtful>(effect)) {
+  } else if (std::holds_alternative<replication::OutcomeUnknown>(effect)) {
     ++doubts;
   }
 }
@@ -206,7 +206,7 @@
       messages::State state = node.group.state();
       std::uint64_t const ticket = ++lastTicket_;
       state.document += std::to_string(ticket) + ",";
-      step(index, replication::Offer{ticket, std::move(state)});
+      step(index, replication::Proposal{ticket, std::move(state)});
     }
   }
 }
--- a/testside/simulator/replication_simulation.h
+++ b/testside/simulator/replication_simulation.h
@@ -14,7 +14,7 @@
   std::string id;
   std::string address;
   std::string zone;
-  replication::ReplicationGroup group{replication::Policy{}};
+  replication::ReplicationGroup group{replication::ReplicationOptions{}};
   std::map<std::string, std::string> disk;
   std::vector<std::pair<std::uint64_t, replication::Puts>> unsynced;
   std::uint64_t life = 0;
@@ -48,15 +48,15 @@
   void cut(std::size_t from, std::size_t to) { cuts_.emplace(from, to); }
   void mendAll() { cuts_.clear(); }
   void offer();
-  void retire(std::size_t index) { step(index, replication::Retire{}); }
+  void beginShutdown(std::size_t index) { step(index, replication::BeginShutdown{}); }
   std::string forceNewGroup(std::size_t index, messages::State const& state, std::string const& fleet);
   std::optional<std::size_t> active() const;
   void run(Ms time) { network.runUntil(network.now() + time); }
   void setLoss(double loss) { loss_ = loss; }
 
  private:
-  void step(std::size_t index, replication::Event const& event);
-  void carry(std::size_t index, replication::Effect const& effect);
+  void step(std::size_t index, replication::GroupEvent const& event);
+  void carry(std::size_t index, replication::GroupEffect const& effect);
   void tick(std::size_t index, std::uint64_t life);
   void witness(std::size_t index, messages::State const& state, std::string const& what);
   void checkLeadershipConfirmation();
--- a/testside/simulator/simulated_links.h
+++ b/testside/simulator/simulated_links.h
@@ -14,7 +14,7 @@
   std::chrono::microseconds perMessage{0};
   std::chrono::microseconds perKilobyte{0};
   /// A message that would wait longer than this on a link is lost.
-  Ms mostQueued{3000};
+  Ms maxQueued{3000};
 };
 
 class SimulatedLinks {
@@ -27,7 +27,7 @@
   TimePoint send(TimePoint now, std::size_t bytes) { return transmit(compute(now, bytes), bytes, outFreeAt_); }
   /// When a message whose last byte arrives now has been read and processed.
   TimePoint receive(TimePoint now, std::size_t bytes) { return compute(transmit(now, bytes, inFreeAt_), bytes); }
-  bool overflows(TimePoint now) const { return outFreeAt_ - now > capacity_.mostQueued; }
+  bool overflows(TimePoint now) const { return outFreeAt_ - now > capacity_.maxQueued; }
 
  private:
   TimePoint compute(TimePoint now, std::size_t bytes) {
