--- a/libs/config/include/limeramp/config/configuration.h
+++ b/libs/config/include/limeramp/config/configuration.h
@@ -28,7 +28,7 @@
   double capacity = 50;
   std::chrono::milliseconds slowStartMs{0};
   std::size_t maxConnections = 0;
-  double coldPerSecond = 0;
+  double warmupPerSecond = 0;
 };
 
 struct Shard {
@@ -42,9 +42,9 @@
   std::string tenant;
   std::string prefix;
   std::vector<Shard> shards;
-  std::size_t result_size = 10;
-  std::size_t minimum_shards = 1;
-  std::size_t max_attempts = 2;
+  std::size_t resultSize = 10;
+  std::size_t minimumShards = 1;
+  std::size_t maxAttempts = 2;
   std::chrono::milliseconds deadlineMs{500};
   std::chrono::milliseconds aimMs{0};
   std::size_t priority = 0;
@@ -61,8 +61,8 @@
   std::string tenant;
   std::string prefix;
   std::vector<Choice> choices;
-  std::size_t max_attempts = 1;
-  bool repeatable = false;
+  std::size_t maxAttempts = 1;
+  bool idempotent = false;
   std::chrono::milliseconds deadlineMs{2000};
   std::chrono::milliseconds aimMs{0};
   std::size_t priority = 0;
--- a/libs/config/src/configuration.cpp
+++ b/libs/config/src/configuration.cpp
@@ -149,7 +149,7 @@
     service.slowStartMs =
         reader.durationMs("slow_start_ms", service.slowStartMs, std::chrono::milliseconds(0), std::chrono::minutes(60));
     service.maxConnections = reader.whole("max_connections", service.maxConnections, 0, 1'000'000);
-    service.coldPerSecond = reader.number("cold_per_second", service.coldPerSecond, 0, 1e6);
+    service.warmupPerSecond = reader.number("cold_per_second", service.warmupPerSecond, 0, 1e6);
     configuration.services.emplace(name, service);
   });
   root.eachField("searches", 1000, [&](std::string const& name, Reader& reader) {
@@ -165,12 +165,12 @@
       }
       search.shards.push_back(std::move(shard));
     });
-    search.result_size = reader.whole("result_size", std::nullopt, 1, 10'000);
-    search.minimum_shards = reader.whole("minimum_shards", std::nullopt, 1, 64);
-    if (search.minimum_shards > search.shards.size()) {
+    search.resultSize = reader.whole("result_size", std::nullopt, 1, 10'000);
+    search.minimumShards = reader.whole("minimum_shards", std::nullopt, 1, 64);
+    if (search.minimumShards > search.shards.size()) {
       reader.complain("minimum_shards", "is above the number of shards");
     }
-    search.max_attempts = reader.whole("max_attempts", search.max_attempts, 1, 8);
+    search.maxAttempts = reader.whole("max_attempts", search.maxAttempts, 1, 8);
     search.deadlineMs = reader.durationMs("deadline_ms", search.deadlineMs, minDeadlineMs, maxDeadlineMs);
     search.aimMs = reader.durationMs("aim_ms", search.aimMs, std::chrono::milliseconds(0), maxDeadlineMs);
     search.priority = reader.whole("priority", search.priority, 0, 100);
@@ -181,8 +181,8 @@
     route.name = name;
     readPlace(reader, places, route.host, route.tenant, route.prefix);
     readChoices(reader, configuration, route);
-    route.max_attempts = reader.whole("max_attempts", route.max_attempts, 1, 8);
-    route.repeatable = reader.flag("repeatable", false);
+    route.maxAttempts = reader.whole("max_attempts", route.maxAttempts, 1, 8);
+    route.idempotent = reader.flag("repeatable", false);
     route.deadlineMs = reader.durationMs("deadline_ms", route.deadlineMs, minDeadlineMs, maxDeadlineMs);
     route.aimMs = reader.durationMs("aim_ms", route.aimMs, std::chrono::milliseconds(0), maxDeadlineMs);
     route.priority = reader.whole("priority", route.priority, 0, 100);
--- a/libs/control/src/node_tracker.cpp
+++ b/libs/control/src/node_tracker.cpp
@@ -38,7 +38,7 @@
   }
   incarnations_.merge(status.incarnations);
   TrackedNode& entry = nodes_[follower.node];
-  if (status.boot != 0 && status.boot == entry.leftBoot && !direct && !status.leaving) {
+  if (status.boot != 0 && status.boot == entry.leftBoot && !direct && !status.draining) {
     return true;
   }
   bool const known = !entry.follower.address.empty();
@@ -54,8 +54,8 @@
     proof->second.removedByOperator = false;
   }
   entry.boot = status.boot;
-  entry.leaving = status.leaving;
-  entry.leftBoot = status.leaving ? status.boot : entry.leftBoot;
+  entry.draining = status.draining;
+  entry.leftBoot = status.draining ? status.boot : entry.leftBoot;
   entry.follower = follower;
   entry.confirmed = std::max(entry.confirmed, StateVersion{follower.epoch, follower.sequence});
   entry.lastReceivedAt = now;
@@ -169,7 +169,7 @@
     digest.add(node.follower);
     digest.add(node.boot);
     digest.add(node.leftBoot);
-    digest.add(node.leaving);
+    digest.add(node.draining);
     digest.add(node.confirmed.epoch);
     digest.add(node.confirmed.sequence);
     digest.add(node.lastReceivedAt);
--- a/libs/control/src/node_tracker.h
+++ b/libs/control/src/node_tracker.h
@@ -22,7 +22,7 @@
   messages::Follower follower;
   std::uint64_t boot = 0;
   std::uint64_t leftBoot = 0;
-  bool leaving = false;
+  bool draining = false;
   StateVersion confirmed;
   TimePoint lastReceivedAt{};
   bool direct = false;
--- a/libs/control/src/roster_planner.cpp
+++ b/libs/control/src/roster_planner.cpp
@@ -8,7 +8,7 @@
 
 bool hasLeft(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker, std::string const& node) {
   TrackedNode const* const found = tracker.find(node);
-  bool const saidSo = found != nullptr && found->leaving;
+  bool const saidSo = found != nullptr && found->draining;
   return saidSo || now - tracker.lastReceivedAt(node) > options.rosterForgetMs || tracker.persistentlyGone(now, node);
 }
 
@@ -57,7 +57,7 @@
     takenSlots.insert(entry.slot);
   }
   for (std::pair<std::string const, TrackedNode> const& entry : tracker.nodes()) {
-    bool const present = tracker.isAlive(now, entry.first) && !entry.second.leaving;
+    bool const present = tracker.isAlive(now, entry.first) && !entry.second.draining;
     if (present && !tracker.persistentlyGone(now, entry.first)) {
       addOrMove(entry.second.follower, takenSlots, plan);
     }
--- a/libs/discovery/include/limeramp/discovery/list.h
+++ b/libs/discovery/include/limeramp/discovery/list.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "limeramp/dispatch/machine.h"
+#include "limeramp/dispatch/dispatcher.h"
 
 #include <absl/status/statusor.h>
 
@@ -12,7 +12,7 @@
 namespace limeramp::discovery {
 
 struct List {
-  std::map<std::string, std::vector<dispatch::ServerRow>> services;
+  std::map<std::string, std::vector<dispatch::ServerEndpoint>> services;
   std::size_t rows = 0;
   std::vector<std::string> dropped;
   std::string nextPage{};
--- a/libs/discovery/include/limeramp/discovery/server_directory.h
+++ b/libs/discovery/include/limeramp/discovery/server_directory.h
@@ -66,7 +66,7 @@
   void listFailed();
   void listFailed(TimePoint now, bool overRate);
 
-  std::vector<dispatch::ServerRow> rows(TimePoint now, std::string const& service) const;
+  std::vector<dispatch::ServerEndpoint> rows(TimePoint now, std::string const& service) const;
   std::optional<std::chrono::milliseconds> ageMs(TimePoint now, std::string const& service) const;
 
  private:
--- a/libs/discovery/src/list.cpp
+++ b/libs/discovery/src/list.cpp
@@ -33,17 +33,17 @@
   for (picojson::value const& item : parsed->get("servers").get<picojson::array>()) {
     std::vector<config::Problem> problems;
     config::Reader reader(item, "/servers/" + std::to_string(index++), problems);
-    dispatch::ServerRow row;
+    dispatch::ServerEndpoint row;
     row.address = reader.text("address", std::nullopt);
     std::string const service = reader.text("service", std::nullopt);
     row.zone = reader.text("zone", std::nullopt);
     row.capacity = reader.number("capacity", std::nullopt, 0.1, 1e6);
-    row.leaving = reader.flag("leaving", false);
+    row.draining = reader.flag("leaving", false);
     row.slowStartMs = reader.durationMs("slow_start_ms", std::chrono::milliseconds(0), std::chrono::milliseconds(0),
                                         std::chrono::minutes(60));
-    row.life = reader.text("life", "");
-    row.coldMs = reader.durationMs("cold_ms", std::chrono::milliseconds(0), std::chrono::milliseconds(0),
-                                   std::chrono::minutes(60));
+    row.incarnation = reader.text("life", "");
+    row.warmupMs = reader.durationMs("cold_ms", std::chrono::milliseconds(0), std::chrono::milliseconds(0),
+                                     std::chrono::minutes(60));
     if (problems.empty() && !net::Address::parse(row.address)) {
       reader.complain("address", "must be an IP number and a port");
     }
--- a/libs/discovery/src/server_directory.cpp
+++ b/libs/discovery/src/server_directory.cpp
@@ -33,7 +33,7 @@
 using SeenKey = std::pair<std::string, std::string>;
 
 SeenKey seenKey(std::string const& service, messages::TableRow const& row) {
-  return {service, row.address + ' ' + row.life};
+  return {service, row.address + ' ' + row.incarnation};
 }
 
 std::uint64_t digestOf(std::string const& service, std::vector<messages::TableRow> const& rows,
@@ -41,7 +41,7 @@
   std::uint64_t digest = XXH64("table", 5, 0);
   for (messages::TableRow row : rows) {
     row.ageMs = 0;
-    row.coldMs = seen.at(seenKey(service, row)).coldToldMs;
+    row.warmupMs = seen.at(seenKey(service, row)).coldToldMs;
     std::string const bytes = messages::pack(row);
     digest = XXH64(bytes.data(), bytes.size(), digest);
   }
@@ -92,7 +92,7 @@
         std::map<SeenKey, Seen>::const_iterator const known = seen.find(seenKey(service, row));
         if (known != seen.end()) {
           row.ageMs = millisBetween(known->second.firstAt, now);
-          row.coldMs = millisBetween(now, known->second.coldUntil);
+          row.warmupMs = millisBetween(now, known->second.coldUntil);
         }
       }
     }
@@ -109,19 +109,19 @@
     std::set<SeenKey> listed;
     for (messages::TableRow const& row : rows) {
       TimePoint const firstAt = now - Ms(static_cast<long>(row.ageMs));
-      TimePoint const coldUntil = now + Ms(static_cast<long>(row.coldMs));
+      TimePoint const coldUntil = now + Ms(static_cast<long>(row.warmupMs));
       SeenKey const key = seenKey(service, row);
       listed.insert(key);
       std::map<SeenKey, Seen>::iterator const known = seen.find(key);
       if (known == seen.end()) {
-        seen.emplace(key, Seen{firstAt, coldUntil, row.coldMs});
+        seen.emplace(key, Seen{firstAt, coldUntil, row.warmupMs});
         continue;
       }
       Seen& entry = known->second;
       older = older || firstAt + options.listMs < entry.firstAt;
       entry.firstAt = std::min(entry.firstAt, firstAt);
-      if (row.coldMs == 0 || entry.coldToldMs == 0 || coldUntil > entry.coldUntil + options.coldRiseMs) {
-        entry.coldToldMs = row.coldMs;
+      if (row.warmupMs == 0 || entry.coldToldMs == 0 || coldUntil > entry.coldUntil + options.coldRiseMs) {
+        entry.coldToldMs = row.warmupMs;
         entry.coldUntil = coldUntil;
       }
     }
@@ -139,12 +139,13 @@
 
   std::vector<messages::TableRow> rowsOf(List const& list, std::string const& service, bool whole) {
     std::vector<messages::TableRow> rows;
-    std::map<std::string, std::vector<dispatch::ServerRow>>::const_iterator const found = list.services.find(service);
+    std::map<std::string, std::vector<dispatch::ServerEndpoint>>::const_iterator const found =
+        list.services.find(service);
     if (found != list.services.end()) {
-      for (dispatch::ServerRow const& row : found->second) {
-        rows.push_back({row.address, row.zone, row.capacity, row.leaving,
-                        static_cast<std::uint64_t>(row.slowStartMs.count()), 0, row.life,
-                        static_cast<std::uint64_t>(row.coldMs.count())});
+      for (dispatch::ServerEndpoint const& row : found->second) {
+        rows.push_back({row.address, row.zone, row.capacity, row.draining,
+                        static_cast<std::uint64_t>(row.slowStartMs.count()), 0, row.incarnation,
+                        static_cast<std::uint64_t>(row.warmupMs.count())});
       }
     }
     if (whole) {
@@ -162,8 +163,8 @@
       }
       if (absent.insert(key).second) {
         messages::TableRow held = row;
-        held.leaving = true;
-        held.coldMs = 0;
+        held.draining = true;
+        held.warmupMs = 0;
         rows.push_back(std::move(held));
       } else {
         absent.erase(key);
@@ -377,12 +378,13 @@
     impl.restartList();
     return out;
   }
-  for (std::pair<std::string const, std::vector<dispatch::ServerRow>> const& entry : page.services) {
-    std::vector<dispatch::ServerRow>& rows = impl.collected.services[entry.first];
-    for (dispatch::ServerRow const& row : entry.second) {
-      std::vector<dispatch::ServerRow>::iterator const same = std::find_if(
-          rows.begin(), rows.end(),
-          [&](dispatch::ServerRow const& known) { return known.address == row.address && known.life == row.life; });
+  for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& entry : page.services) {
+    std::vector<dispatch::ServerEndpoint>& rows = impl.collected.services[entry.first];
+    for (dispatch::ServerEndpoint const& row : entry.second) {
+      std::vector<dispatch::ServerEndpoint>::iterator const same =
+          std::find_if(rows.begin(), rows.end(), [&](dispatch::ServerEndpoint const& known) {
+            return known.address == row.address && known.incarnation == row.incarnation;
+          });
       if (same == rows.end()) {
         rows.push_back(row);
         ++impl.collected.rows;
@@ -418,7 +420,7 @@
   impl.emptySince.reset();
   impl.lastRows = list.rows;
   impl.listedAt = now;
-  for (std::pair<std::string const, std::vector<dispatch::ServerRow>> const& entry : list.services) {
+  for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& entry : list.services) {
     if (impl.sheets.size() < maxSheets) {
       impl.sheets.try_emplace(entry.first);
     }
@@ -452,15 +454,15 @@
   impl.nextListAt = now + waitMs + waitMs * static_cast<long>(spread) / 200;
 }
 
-std::vector<dispatch::ServerRow> Desk::rows(TimePoint now, std::string const& service) const {
-  std::vector<dispatch::ServerRow> out;
+std::vector<dispatch::ServerEndpoint> Desk::rows(TimePoint now, std::string const& service) const {
+  std::vector<dispatch::ServerEndpoint> out;
   std::map<std::string, Sheet>::const_iterator const found = impl_->sheets.find(service);
   if (found == impl_->sheets.end()) {
     return out;
   }
   for (messages::TableRow const& row : impl_->tableOf(now, service, true).rows) {
-    out.push_back({row.address, row.zone, row.capacity, row.leaving, Ms(static_cast<long>(row.slowStartMs)),
-                   Ms(static_cast<long>(row.ageMs)), row.life, Ms(static_cast<long>(row.coldMs)), 0});
+    out.push_back({row.address, row.zone, row.capacity, row.draining, Ms(static_cast<long>(row.slowStartMs)),
+                   Ms(static_cast<long>(row.ageMs)), row.incarnation, Ms(static_cast<long>(row.warmupMs)), 0});
   }
   return out;
 }
--- a/libs/dispatch/include/limeramp/dispatch/machine.h
+++ b/libs/dispatch/include/limeramp/dispatch/dispatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "limeramp/logging/logging.h"
-#include "limeramp/retry/ledger.h"
+#include "limeramp/retry/attempt_log.h"
 
 #include <chrono>
 #include <cstdint>
@@ -15,15 +15,15 @@
 
 using retry::TimePoint;
 
-struct Policy {
-  std::size_t concurrentPerServer = 4;
+struct DispatchOptions {
+  std::size_t maxConcurrentPerServer = 4;
   double limitGrowth = 0.05;
   double limitShrink = 0.7;
   double windowGrowth = 0.1;
   double windowShrink = 0.7;
   double queueShareOfDeadline = 0.15;
-  double baseDrift = 1.001;
-  std::chrono::milliseconds rivalMs{3000};
+  double baselineDrift = 1.001;
+  std::chrono::milliseconds tenantActiveMs{3000};
   std::size_t maxWaitingPerService = 512;
   std::size_t maxWaitingPerTenant = 128;
   std::size_t maxRequests = 4000;
@@ -34,159 +34,159 @@
   double marginShareOfDeadline = 0.06;
   std::chrono::milliseconds marginMinMs{8};
   std::chrono::milliseconds marginMaxMs{30};
-  std::chrono::milliseconds aimMarginMs{8};
+  std::chrono::milliseconds latencyTargetMarginMs{8};
   double lateShare = 0.4;
-  double offerShareOfAim = 0.25;
+  double offerShareOfLatencyTarget = 0.25;
   std::chrono::milliseconds blockedMs{5};
   std::chrono::milliseconds waitWakeMs{50};
-  std::chrono::milliseconds ghostMaxMs{1000};
-  std::chrono::milliseconds downFirstMs{500};
-  std::chrono::milliseconds downMaxMs{4000};
+  std::chrono::milliseconds abandonedMaxMs{1000};
+  std::chrono::milliseconds ejectionBaseMs{500};
+  std::chrono::milliseconds ejectionMaxMs{4000};
   std::chrono::milliseconds stallMs{1000};
-  std::chrono::milliseconds silentFirstMs{100};
-  std::chrono::milliseconds quietFirstMs{100};
-  std::chrono::milliseconds quietMaxMs{1000};
-  std::chrono::milliseconds trialMs{350};
+  std::chrono::milliseconds unresponsiveInitialMs{100};
+  std::chrono::milliseconds unresponsiveBaseMs{100};
+  std::chrono::milliseconds unresponsiveMaxMs{1000};
+  std::chrono::milliseconds halfOpenProbeMs{350};
   double zoneBias = 0.9;
   double zoneLoadCalm = 1;
   double zoneLoadMost = 1.7;
   double zoneLatencyFactor = 3;
   std::size_t zoneMostOpen = 3;
-  double freshShare = 0.2;
-  double coldOverrun = 1.25;
-  double coldSlack = 4;
-  std::chrono::milliseconds coldWindowMs{1100};
-  std::chrono::milliseconds placeSettleMs{3200};
+  double slowStartInitialShare = 0.2;
+  double warmupOverrun = 1.25;
+  double warmupSlack = 4;
+  std::chrono::milliseconds warmupWindowMs{1100};
+  std::chrono::milliseconds positionStableMs{3200};
   std::chrono::milliseconds retryMinMs{20};
   std::chrono::milliseconds retryMaxMs{300};
-  bool rerun = true;
+  bool hedge = true;
 };
 
-struct ServerRow {
+struct ServerEndpoint {
   std::string address;
   std::string zone;
   double capacity = 50;
-  bool leaving = false;
+  bool draining = false;
   std::chrono::milliseconds slowStartMs{0};
   std::chrono::milliseconds ageMs{0};
-  std::string life{};
-  std::chrono::milliseconds coldMs{0};
-  double coldPerSecond = 0;
+  std::string incarnation{};
+  std::chrono::milliseconds warmupMs{0};
+  double warmupPerSecond = 0;
 };
 
-struct Servers {
+struct ServersUpdated {
   std::string service;
-  std::vector<ServerRow> rows;
+  std::vector<ServerEndpoint> rows;
 };
 
-struct Place {
-  std::size_t fronts = 1;
-  std::size_t rank = 0;
+struct FleetPosition {
+  std::size_t gatewayCount = 1;
+  std::size_t gatewayIndex = 0;
   double budgetDepth = 0;
   double budgetRatio = 0.2;
   std::string zone{};
 };
 
-struct Arrive {
+struct RequestArrived {
   std::uint64_t request = 0;
   std::string tenant;
   std::vector<std::string> services;
   std::size_t minimum = 1;
-  std::size_t max_attempts = 1;
-  bool repeatable = false;
+  std::size_t maxAttempts = 1;
+  bool idempotent = false;
   TimePoint deadline;
-  TimePoint aim{};
+  TimePoint latencyTarget{};
   std::size_t priority = 0;
   std::size_t kind = 0;
 };
 
-struct Returned {
+struct AttemptFinished {
   std::uint64_t attempt = 0;
   bool good = false;
   bool healthy = false;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
   std::optional<double> load;
-  bool otherLife = false;
-  bool full = false;
-  std::optional<std::chrono::milliseconds> coldMs{};
+  bool staleIncarnation = false;
+  bool overCapacity = false;
+  std::optional<std::chrono::milliseconds> warmupMs{};
 };
 
 struct Tick {};
 
-using Event = std::variant<Servers, Place, Arrive, Returned, Tick>;
+using DispatchEvent = std::variant<ServersUpdated, FleetPosition, RequestArrived, AttemptFinished, Tick>;
 
-struct Send {
+struct SendAttempt {
   std::uint64_t attempt = 0;
   std::uint64_t request = 0;
-  std::size_t leg = 0;
+  std::size_t shard = 0;
   std::string server;
-  std::string life;
+  std::string incarnation;
   TimePoint deadline;
-  bool extra = false;
+  bool hedged = false;
 };
 
-struct Cancel {
+struct CancelAttempt {
   std::uint64_t attempt = 0;
 };
 
-struct Keep {
+struct AcceptShardResult {
   std::uint64_t attempt = 0;
   std::uint64_t request = 0;
-  std::size_t leg = 0;
+  std::size_t shard = 0;
 };
 
-enum class Ending { complete, partial, refused, failed };
+enum class RequestOutcome { complete, partial, refused, failed };
 
-struct Finish {
+struct FinishRequest {
   std::uint64_t request = 0;
-  Ending ending = Ending::failed;
+  RequestOutcome outcome = RequestOutcome::failed;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
   std::vector<std::size_t> missing;
   std::string reason;
   std::optional<std::chrono::milliseconds> retryAfter;
 };
 
-struct Note {
+struct LogEntry {
   logging::Event event;
   std::string service;
   std::string server;
 };
 
-using Effect = std::variant<Send, Cancel, Keep, Finish, Note>;
+using DispatchEffect = std::variant<SendAttempt, CancelAttempt, AcceptShardResult, FinishRequest, LogEntry>;
 
-struct ServerView {
+struct ServerStatus {
   std::string service;
   std::string address;
   std::string zone;
   std::size_t inFlight = 0;
   double latencyMs = 0;
-  bool down = false;
-  bool leaving = false;
-  bool fresh = false;
+  bool ejected = false;
+  bool draining = false;
+  bool warmingUp = false;
   double load = 0;
 };
 
 struct Counters {
   std::uint64_t arrivals = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t extras = 0;
+  std::uint64_t hedgedAttempts = 0;
   std::uint64_t retries = 0;
-  std::uint64_t lostRaces = 0;
-  std::uint64_t missing = 0;
-  std::uint64_t refused = 0;
-  std::uint64_t budgetSpent = 0;
+  std::uint64_t supersededAttempts = 0;
+  std::uint64_t missingShards = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t retryBudgetExhausted = 0;
 };
 
-class Machine {
+class Dispatcher {
  public:
-  explicit Machine(Policy const& policy);
-  ~Machine();
-  Machine(Machine&&) noexcept;
-  Machine& operator=(Machine&&) noexcept;
+  explicit Dispatcher(DispatchOptions const& policy);
+  ~Dispatcher();
+  Dispatcher(Dispatcher&&) noexcept;
+  Dispatcher& operator=(Dispatcher&&) noexcept;
 
-  std::vector<Effect> step(TimePoint now, Event const& event);
+  std::vector<DispatchEffect> step(TimePoint now, DispatchEvent const& event);
   std::optional<TimePoint> nextWake(TimePoint now) const;
-  std::vector<ServerView> servers(TimePoint now) const;
+  std::vector<ServerStatus> servers(TimePoint now) const;
   Counters counters() const;
   std::size_t requests() const;
 
--- /dev/null
+++ b/libs/dispatch/src/dispatcher.cpp
@@ -0,0 +1,453 @@
+#include "dispatcher_impl.h"
+
+#include <algorithm>
+
+namespace limeramp::dispatch {
+
+std::uint32_t Dispatcher::Impl::serviceOf(std::string const& name) {
+  std::unordered_map<std::string, std::uint32_t>::const_iterator const found = serviceIndex.find(name);
+  if (found != serviceIndex.end()) {
+    return found->second;
+  }
+  std::uint32_t index = static_cast<std::uint32_t>(services.size());
+  if (freeServices.empty()) {
+    services.emplace_back();
+  } else {
+    index = freeServices.back();
+    freeServices.pop_back();
+  }
+  services[index].name = name;
+  services[index].budget.set(position.budgetDepth, position.budgetRatio);
+  serviceIndex.emplace(name, index);
+  return index;
+}
+
+void Dispatcher::Impl::releaseIfUnused(std::uint32_t index) {
+  ServiceState& service = services[index];
+  if (service.subrequests == 0 && service.servers.empty() && !service.name.empty()) {
+    serviceIndex.erase(service.name);
+    service = ServiceState{};
+    freeServices.push_back(index);
+  }
+}
+
+void Dispatcher::Impl::markDirty(std::uint32_t index) {
+  if (!services[index].dirty) {
+    services[index].dirty = true;
+    dirty.push_back(index);
+  }
+}
+
+RequestState* Dispatcher::Impl::find(std::uint64_t request) {
+  std::unordered_map<std::uint64_t, RequestState>::iterator const found = requests.find(request);
+  return found == requests.end() ? nullptr : &found->second;
+}
+
+void Dispatcher::Impl::on(ServersUpdated const& event) {
+  std::uint32_t const index = serviceOf(event.service);
+  ServiceState& service = services[index];
+  std::vector<ServerState> next;
+  next.reserve(event.rows.size());
+  for (ServerEndpoint const& row : event.rows) {
+    std::vector<ServerState>::iterator const old =
+        std::find_if(service.servers.begin(), service.servers.end(), [&](ServerState const& server) {
+          return server.id != 0 && server.row.address == row.address && server.row.incarnation == row.incarnation;
+        });
+    ServerState state;
+    if (old == service.servers.end()) {
+      state.id = ++lastServer;
+      state.startedAt = now - row.ageMs;
+      state.tokens = static_cast<double>(position.gatewayIndex) /
+                     static_cast<double>(std::max<std::size_t>(1, position.gatewayCount));
+      state.tokensAt = now;
+      state.latencyAt = now;
+      state.limit = static_cast<double>(policy.maxConcurrentPerServer);
+    } else {
+      state = std::move(*old);
+      old->id = 0;
+      state.startedAt = std::min(state.startedAt, now - row.ageMs);
+    }
+    state.row = row;
+    if (row.warmupMs.count() > 0) {
+      state.warmupUntil = std::max(state.warmupUntil, now + row.warmupMs);
+    }
+    next.push_back(std::move(state));
+  }
+  service.servers = std::move(next);
+  for (TenantState const* const tenant : service.tenantRoundRobin) {
+    for (Waiting const& waiting : tenant->waiting) {
+      review.push_back(waiting.key.request);
+    }
+  }
+  markDirty(index);
+  releaseIfUnused(index);
+}
+
+void Dispatcher::Impl::on(FleetPosition const& event) {
+  position = event;
+  if (firstPositionAt == TimePoint{}) {
+    firstPositionAt = now;
+  }
+  recentPositions.emplace_back(now, position);
+  while (recentPositions.size() > 1 && now - recentPositions[1].first >= policy.positionStableMs) {
+    recentPositions.pop_front();
+  }
+  for (std::uint32_t index = 0; index < services.size(); ++index) {
+    services[index].budget.set(position.budgetDepth, position.budgetRatio);
+    if (services[index].waitingCount > 0) {
+      markDirty(index);
+    }
+  }
+}
+
+void Dispatcher::Impl::refuse(RequestArrived const& event, std::string const& reason) {
+  ++counters.rejected;
+  FinishRequest refusal;
+  refusal.request = event.request;
+  refusal.outcome = RequestOutcome::refused;
+  refusal.verdict = retry::Verdict::notRun;
+  refusal.reason = reason;
+  refusal.retryAfter = policy.retryMinMs;
+  std::string const service = event.services.empty() ? "" : event.services.front();
+  std::unordered_map<std::string, std::uint32_t>::const_iterator const known = serviceIndex.find(service);
+  if (known != serviceIndex.end()) {
+    refusal.retryAfter = retryAfter(services[known->second]);
+  }
+  effects.emplace_back(std::move(refusal));
+  effects.emplace_back(LogEntry{logging::Event::overloadRejected, service, event.tenant});
+}
+
+void Dispatcher::Impl::on(RequestArrived const& event) {
+  if (requests.contains(event.request)) {
+    return;
+  }
+  ++counters.arrivals;
+  if (event.services.empty() || requests.size() >= policy.maxRequests) {
+    refuse(event, "overloaded");
+    return;
+  }
+  RequestState state;
+  state.id = event.request;
+  state.minimum = event.minimum;
+  state.maxAttempts = event.maxAttempts;
+  state.idempotent = event.idempotent;
+  state.priority = std::min(event.priority, priorityCount - 1);
+  state.kind = event.kind;
+  state.arrivedAt = now;
+  state.deadline = event.deadline;
+  double const totalMs = millis(event.deadline - now);
+  double const marginMs = std::min(totalMs / 2, std::clamp(totalMs * policy.marginShareOfDeadline,
+                                                           millis(policy.marginMinMs), millis(policy.marginMaxMs)));
+  state.answerBy = event.deadline - fine(marginMs);
+  state.offerBy = TimePoint::max();
+  if (event.latencyTarget > now && event.latencyTarget < event.deadline) {
+    double const targetMs = millis(event.latencyTarget - now);
+    state.latencyTargetAt = event.latencyTarget - fine(std::min(millis(policy.latencyTargetMarginMs), targetMs / 2));
+    state.offerBy = now + fine(targetMs * policy.offerShareOfLatencyTarget);
+  }
+  std::size_t crowded = 0;
+  state.subrequests.resize(event.services.size());
+  for (std::size_t index = 0; index < state.subrequests.size(); ++index) {
+    Subrequest& subrequest = state.subrequests[index];
+    subrequest.service = serviceOf(event.services[index]);
+    subrequest.givenUp = isOverloaded(services[subrequest.service], event, state);
+    crowded += subrequest.givenUp ? 1 : 0;
+  }
+  if (state.subrequests.size() - crowded < event.minimum) {
+    refuse(event, "overloaded");
+    for (Subrequest const& subrequest : state.subrequests) {
+      releaseIfUnused(subrequest.service);
+    }
+    return;
+  }
+  RequestState& request = requests.emplace(event.request, std::move(state)).first->second;
+  for (std::uint32_t index = 0; index < request.subrequests.size(); ++index) {
+    Subrequest& subrequest = request.subrequests[index];
+    ServiceState& service = services[subrequest.service];
+    ++service.subrequests;
+    subrequest.tenant = &tenantOf(service, event.tenant);
+    ++subrequest.tenant->subrequests;
+    if (!subrequest.givenUp) {
+      enqueue(request, index);
+    }
+  }
+  review.push_back(event.request);
+}
+
+Ms Dispatcher::Impl::retryAfter(ServiceState const& service) const {
+  double const roomMs = service.latencies.typicalMs() + expectedWaitMs(service, service.waitingCount);
+  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), policy.retryMinMs, policy.retryMaxMs);
+}
+
+void Dispatcher::Impl::closeAttempt(RequestState& request, std::uint32_t index, retry::Attempt const& attempt,
+                                    bool lost) {
+  Subrequest& subrequest = request.subrequests[index];
+  ServiceState& service = services[subrequest.service];
+  if (ServerState* const server = findServer(service, attempt.server)) {
+    std::vector<TimePoint>::iterator const kept = std::find(server->open.begin(), server->open.end(), attempt.began);
+    if (kept != server->open.end()) {
+      server->open.erase(kept);
+    }
+    subrequest.tenant->abandonedUntil.push_back(
+        now + std::min<TimePoint::duration>(policy.abandonedMaxMs, now - attempt.began));
+    if (!lost) {
+      shrinkWindow(service, *subrequest.tenant, millis(now - attempt.began));
+    }
+    recordUnanswered(service, *server, attempt.began, lost);
+  }
+  counters.supersededAttempts += lost ? 1 : 0;
+  subrequest.tenant->inFlight -= subrequest.tenant->inFlight > 0 ? 1 : 0;
+  attempts.erase(attempt.id);
+  subrequest.attemptLog.cancel(attempt.id);
+  effects.emplace_back(CancelAttempt{attempt.id});
+}
+
+void Dispatcher::Impl::closeOthers(RequestState& request, std::uint32_t index) {
+  Subrequest& subrequest = request.subrequests[index];
+  subrequest.straggling = false;
+  if (!subrequest.attemptLog.hasOpen()) {
+    return;
+  }
+  bool const lost = subrequest.attemptLog.isComplete();
+  for (std::size_t at = 0; at < subrequest.attemptLog.attempts().size(); ++at) {
+    retry::Attempt const attempt = subrequest.attemptLog.attempts()[at];
+    if (attempt.state == retry::AttemptState::assigned) {
+      closeAttempt(request, index, attempt, lost);
+    }
+  }
+  markDirty(subrequest.service);
+}
+
+void Dispatcher::Impl::on(AttemptFinished const& event) {
+  std::unordered_map<std::uint64_t, SubrequestKey>::iterator const known = attempts.find(event.attempt);
+  if (known == attempts.end()) {
+    return;
+  }
+  SubrequestKey const key = known->second;
+  attempts.erase(known);
+  RequestState& request = requests.at(key.request);
+  Subrequest& subrequest = request.subrequests[key.shard];
+  ServiceState& service = services[subrequest.service];
+  std::vector<retry::Attempt> const& entries = subrequest.attemptLog.attempts();
+  retry::Attempt const attempt = *std::find_if(entries.begin(), entries.end(),
+                                               [&](retry::Attempt const& entry) { return entry.id == event.attempt; });
+  subrequest.tenant->inFlight -= subrequest.tenant->inFlight > 0 ? 1 : 0;
+  double const latencyMs = millis(now - attempt.began);
+  if (event.healthy) {
+    growWindow(service, *subrequest.tenant, request, latencyMs);
+  }
+  if (ServerState* const server = findServer(service, attempt.server)) {
+    std::vector<TimePoint>::iterator const kept = std::find(server->open.begin(), server->open.end(), attempt.began);
+    if (kept != server->open.end()) {
+      server->open.erase(kept);
+    }
+    recordAnswer(service, *server, event, latencyMs, request.kind);
+  }
+  if (event.good) {
+    subrequest.attemptLog.complete(event.attempt);
+    effects.emplace_back(AcceptShardResult{event.attempt, key.request, key.shard});
+    closeOthers(request, key.shard);
+  } else {
+    subrequest.attemptLog.fail(event.attempt, event.verdict,
+                               event.verdict != retry::Verdict::notRun || event.overCapacity || event.staleIncarnation);
+    if (!subrequest.attemptLog.hasOpen()) {
+      subrequest.straggling = false;
+      if (subrequest.attemptLog.mayAttemptAgain(request.maxAttempts, request.idempotent) &&
+          hasCandidate(service, subrequest.attemptLog) &&
+          (!subrequest.attemptLog.hasReached() || service.budget.balance() >= 1)) {
+        ++counters.retries;
+        enqueue(request, key.shard);
+      } else {
+        subrequest.givenUp = true;
+      }
+    }
+  }
+  markDirty(subrequest.service);
+  review.push_back(key.request);
+}
+
+void Dispatcher::Impl::reviewRequest(RequestState& request) {
+  std::size_t done = 0;
+  std::size_t pending = 0;
+  bool const offerDue = now >= request.offerBy;
+  bool unoffered = false;
+  for (std::uint32_t index = 0; index < request.subrequests.size(); ++index) {
+    Subrequest& subrequest = request.subrequests[index];
+    bool const never = subrequest.waiting && subrequest.attemptLog.attempts().empty();
+    if (subrequest.waiting &&
+        (!hasCandidate(services[subrequest.service], subrequest.attemptLog) ||
+         (never && offerDue && !request.latencyTargetPassed && wouldMissLatencyTarget(request, index)))) {
+      dropWaiting(request, index);
+      subrequest.givenUp = true;
+    }
+    unoffered = unoffered || (never && subrequest.waiting);
+    if (subrequest.attemptLog.isComplete()) {
+      ++done;
+    } else if (!subrequest.givenUp) {
+      ++pending;
+    }
+  }
+  bool const enough = done >= request.minimum;
+  if (pending == 0) {
+    finish(request,
+           enough ? (done == request.subrequests.size() ? RequestOutcome::complete : RequestOutcome::partial)
+                  : RequestOutcome::failed,
+           "no server left to try");
+    return;
+  }
+  if (done + pending < request.minimum) {
+    finish(request, RequestOutcome::failed, "too few shards can still answer");
+    return;
+  }
+  if (now >= request.answerBy) {
+    finish(request, enough ? RequestOutcome::partial : RequestOutcome::failed, "deadline");
+    return;
+  }
+  if (request.latencyTargetAt && !request.latencyTargetPassed && now >= *request.latencyTargetAt) {
+    request.latencyTargetPassed = true;
+    double const ready = static_cast<double>(done);
+    double const most = static_cast<double>(done + pending);
+    if (enough && ready * ready >= policy.lateShare * most * most) {
+      finish(request, RequestOutcome::partial, "aim");
+      return;
+    }
+  }
+  if (offerDue) {
+    request.offerBy = TimePoint::max();
+  }
+  TimePoint due = request.answerBy;
+  if (request.latencyTargetAt && !request.latencyTargetPassed) {
+    due = std::min(due, *request.latencyTargetAt);
+  }
+  if (unoffered) {
+    due = std::min(due, request.offerBy);
+  }
+  for (std::uint32_t index = 0; policy.hedge && request.idempotent && index < request.subrequests.size(); ++index) {
+    Subrequest& subrequest = request.subrequests[index];
+    if (subrequest.straggling || !subrequest.attemptLog.hasOpen() ||
+        !subrequest.attemptLog.mayAttemptAgain(request.maxAttempts, true)) {
+      continue;
+    }
+    TimePoint const at = hedgeAt(request, subrequest);
+    if (at > now) {
+      due = std::min(due, at);
+      continue;
+    }
+    subrequest.straggling = true;
+    ServiceState& service = services[subrequest.service];
+    service.stragglers.push_back({request.id, index});
+    markDirty(subrequest.service);
+    if (service.budget.balance() < 1 && !subrequest.budgetExhaustionLogged) {
+      subrequest.budgetExhaustionLogged = true;
+      ++counters.retryBudgetExhausted;
+      effects.emplace_back(LogEntry{logging::Event::retryBudgetExhausted, service.name, ""});
+    }
+  }
+  requestTimers.set(request, due);
+}
+
+void Dispatcher::Impl::finish(RequestState& request, RequestOutcome outcome, std::string const& reason) {
+  FinishRequest out;
+  out.request = request.id;
+  bool touched = false;
+  for (std::uint32_t index = 0; index < request.subrequests.size(); ++index) {
+    Subrequest& subrequest = request.subrequests[index];
+    dropWaiting(request, index);
+    touched = touched || subrequest.attemptLog.mayHaveRun();
+    if (!subrequest.attemptLog.isComplete()) {
+      out.missing.push_back(index);
+    }
+    closeOthers(request, index);
+  }
+  counters.missingShards += out.missing.size();
+  bool const answered = outcome == RequestOutcome::complete || outcome == RequestOutcome::partial;
+  out.outcome = answered ? outcome : touched ? RequestOutcome::failed : RequestOutcome::refused;
+  out.verdict = answered ? retry::Verdict::ran : touched ? retry::Verdict::mayHaveRun : retry::Verdict::notRun;
+  if (!answered) {
+    out.reason = reason;
+    out.retryAfter = retryAfter(services[request.subrequests.front().service]);
+  }
+  effects.emplace_back(std::move(out));
+  for (Subrequest const& subrequest : request.subrequests) {
+    --subrequest.tenant->subrequests;
+    --services[subrequest.service].subrequests;
+    releaseIfUnused(subrequest.service);
+  }
+  requestTimers.drop(request);
+  requests.erase(request.id);
+}
+
+void Dispatcher::Impl::processPending() {
+  for (std::uint32_t index = 0; index < services.size(); ++index) {
+    if (services[index].wakeAt <= now) {
+      markDirty(index);
+    }
+  }
+  std::size_t reviewed = 0;
+  std::size_t dispatched = 0;
+  while (true) {
+    if (reviewed < review.size()) {
+      if (RequestState* const request = find(review[reviewed++])) {
+        reviewRequest(*request);
+      }
+    } else if (RequestState* const due = requestTimers.firstDue(now)) {
+      reviewRequest(*due);
+    } else if (dispatched < dirty.size()) {
+      std::uint32_t const index = dirty[dispatched++];
+      if (services[index].dirty) {
+        services[index].dirty = false;
+        dispatch(index);
+      }
+    } else {
+      break;
+    }
+  }
+  review.clear();
+  dirty.clear();
+}
+
+Dispatcher::Dispatcher(DispatchOptions const& policy) : impl_(std::make_unique<Impl>(policy)) {}
+Dispatcher::~Dispatcher() = default;
+Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
+Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
+
+std::vector<DispatchEffect> Dispatcher::step(TimePoint now, DispatchEvent const& event) {
+  impl_->now = now;
+  impl_->effects.clear();
+  impl_->effects.reserve(8);
+  if (impl_->recentPositions.empty()) {
+    impl_->on(FleetPosition{});
+  }
+  std::visit([this](auto const& concrete) { impl_->on(concrete); }, event);
+  impl_->processPending();
+  return std::move(impl_->effects);
+}
+
+std::optional<TimePoint> Dispatcher::nextWake(TimePoint now) const {
+  TimePoint soonest = impl_->requestTimers.first().value_or(TimePoint::max());
+  for (ServiceState const& service : impl_->services) {
+    soonest = std::min(soonest, service.wakeAt);
+  }
+  return soonest == TimePoint::max() ? std::nullopt : std::optional<TimePoint>(std::max(soonest, now));
+}
+
+std::vector<ServerStatus> Dispatcher::servers(TimePoint now) const {
+  impl_->now = now;
+  std::vector<ServerStatus> out;
+  for (ServiceState const& service : impl_->services) {
+    for (ServerState const& server : service.servers) {
+      out.push_back({service.name, server.row.address, server.row.zone, server.open.size(), server.latencyMs,
+                     server.ejectedUntil.has_value(), server.row.draining, impl_->slowStartFactor(server) < 1,
+                     server.load});
+    }
+  }
+  std::sort(out.begin(), out.end(), [](ServerStatus const& left, ServerStatus const& right) {
+    return left.service != right.service ? left.service < right.service : left.address < right.address;
+  });
+  return out;
+}
+
+Counters Dispatcher::counters() const { return impl_->counters; }
+std::size_t Dispatcher::requests() const { return impl_->requests.size(); }
+
+}  // namespace limeramp::dispatch
--- a/libs/dispatch/src/part.cpp
+++ b/libs/dispatch/src/shard_result.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/dispatch/part.h"
+#include "limeramp/dispatch/shard_result.h"
 
 #include "limeramp/config/json.h"
 
@@ -20,20 +20,21 @@
 
 struct ReadJob {
   std::string body;
-  Stamp expected;
-  std::size_t result_size = 0;
-  std::function<void(absl::StatusOr<Part>)> done;
+  ShardStamp expected;
+  std::size_t resultSize = 0;
+  std::function<void(absl::StatusOr<ShardResult>)> done;
 };
 
 struct MergeJob {
-  std::vector<PartPtr> parts;
-  std::size_t result_size = 0;
+  std::vector<ShardResultPtr> parts;
+  std::size_t resultSize = 0;
   std::function<void(std::vector<std::string>)> done;
 };
 
 }  // namespace
 
-absl::StatusOr<Part> readPart(std::string_view body, Stamp const& expected, std::size_t result_size) {
+absl::StatusOr<ShardResult> parseShardResult(std::string_view body, ShardStamp const& expected,
+                                             std::size_t resultSize) {
   absl::StatusOr<picojson::value> parsed = config::parseJson(body, {4u << 20, 4, 100'000});
   if (!parsed.ok()) {
     return parsed.status();
@@ -50,13 +51,13 @@
   if (records == fields.end() || !records->second.is<picojson::array>()) {
     return absl::InvalidArgumentError("part without records");
   }
-  Part part;
-  picojson::object const& marks = stamp->second.get<picojson::object>();
+  ShardResult part;
+  picojson::object const& stampFields = stamp->second.get<picojson::object>();
   for (std::pair<std::string, std::string*> const& want :
        {std::pair<std::string, std::string*>("shard", &part.stamp.shard),
         std::pair<std::string, std::string*>("cut", &part.stamp.cut),
         std::pair<std::string, std::string*>("request", &part.stamp.request)}) {
-    absl::StatusOr<std::string> value = field(marks, want.first);
+    absl::StatusOr<std::string> value = field(stampFields, want.first);
     if (!value.ok()) {
       return value.status();
     }
@@ -71,21 +72,21 @@
     }
     part.records.push_back(std::move(record.get<std::string>()));
   }
-  std::size_t const kept = std::min(result_size, part.records.size());
+  std::size_t const kept = std::min(resultSize, part.records.size());
   std::partial_sort(part.records.begin(), part.records.begin() + static_cast<long>(kept), part.records.end(),
                     std::greater<std::string>());
   part.records.resize(kept);
   return part;
 }
 
-std::vector<std::string> mergeParts(std::vector<PartPtr> const& parts, std::size_t result_size) {
+std::vector<std::string> mergeShardResults(std::vector<ShardResultPtr> const& parts, std::size_t resultSize) {
   std::vector<std::string const*> all;
-  for (PartPtr const& part : parts) {
+  for (ShardResultPtr const& part : parts) {
     for (std::string const& record : part->records) {
       all.push_back(&record);
     }
   }
-  std::size_t const kept = std::min(result_size, all.size());
+  std::size_t const kept = std::min(resultSize, all.size());
   std::partial_sort(all.begin(), all.begin() + static_cast<long>(kept), all.end(),
                     [](std::string const* left, std::string const* right) { return *left > *right; });
   std::vector<std::string> out;
@@ -96,17 +97,17 @@
   return out;
 }
 
-struct Mill::Impl {
-  explicit Impl(std::size_t hands)
-      : arena(static_cast<int>(hands), 0),
+struct MergeWorkers::Impl {
+  explicit Impl(std::size_t threads)
+      : arena(static_cast<int>(threads), 0),
         graph(makeGraph()),
         reader(*graph, tbb::flow::unlimited,
                [](ReadJob const& job) {
-                 job.done(readPart(job.body, job.expected, job.result_size));
+                 job.done(parseShardResult(job.body, job.expected, job.resultSize));
                  return tbb::flow::continue_msg();
                }),
         merger(*graph, tbb::flow::unlimited, [](MergeJob const& job) {
-          job.done(mergeParts(job.parts, job.result_size));
+          job.done(mergeShardResults(job.parts, job.resultSize));
           return tbb::flow::continue_msg();
         }) {}
 
@@ -122,30 +123,30 @@
   tbb::flow::function_node<MergeJob> merger;
 };
 
-Mill::Mill(std::size_t hands) : impl_(hands == 0 ? nullptr : std::make_unique<Impl>(hands)) {}
+MergeWorkers::MergeWorkers(std::size_t threads) : impl_(threads == 0 ? nullptr : std::make_unique<Impl>(threads)) {}
 
-Mill::~Mill() {
+MergeWorkers::~MergeWorkers() {
   if (impl_ != nullptr) {
     impl_->graph->wait_for_all();
   }
 }
 
-void Mill::read(std::string body, Stamp expected, std::size_t result_size,
-                std::function<void(absl::StatusOr<Part>)> done) {
+void MergeWorkers::read(std::string body, ShardStamp expected, std::size_t resultSize,
+                        std::function<void(absl::StatusOr<ShardResult>)> done) {
   if (impl_ == nullptr) {
-    done(readPart(body, expected, result_size));
+    done(parseShardResult(body, expected, resultSize));
     return;
   }
-  impl_->reader.try_put({std::move(body), std::move(expected), result_size, std::move(done)});
+  impl_->reader.try_put({std::move(body), std::move(expected), resultSize, std::move(done)});
 }
 
-void Mill::merge(std::vector<PartPtr> parts, std::size_t result_size,
-                 std::function<void(std::vector<std::string>)> done) {
+void MergeWorkers::merge(std::vector<ShardResultPtr> parts, std::size_t resultSize,
+                         std::function<void(std::vector<std::string>)> done) {
   if (impl_ == nullptr) {
-    done(mergeParts(parts, result_size));
+    done(mergeShardResults(parts, resultSize));
     return;
   }
-  impl_->merger.try_put({std::move(parts), result_size, std::move(done)});
+  impl_->merger.try_put({std::move(parts), resultSize, std::move(done)});
 }
 
 }  // namespace limeramp::dispatch
--- a/libs/distribution/src/config_delivery.cpp
+++ b/libs/distribution/src/config_delivery.cpp
@@ -116,7 +116,7 @@
     for (std::pair<std::string const, FollowerReport> const& entry : followers) {
       messages::PeerStatus const& status = entry.second.peerStatus;
       poll.followers.push_back(entry.second.follower);
-      poll.peerStatuses.push_back({status.node, status.boot, status.leaving, {}});
+      poll.peerStatuses.push_back({status.node, status.boot, status.draining, {}});
     }
     return poll;
   }
@@ -439,7 +439,7 @@
     if (!target.empty()) {
       out.sends.push_back({target, target == control ? impl.makeReport(now, target) : impl.makeRequest(now, target)});
     }
-    if ((confirmationOverdue || impl.peerStatus.leaving) && !control.empty() && control != target) {
+    if ((confirmationOverdue || impl.peerStatus.draining) && !control.empty() && control != target) {
       out.sends.push_back({control, impl.makeReport(now, control, Purpose::report)});
     }
   }
@@ -503,7 +503,7 @@
 }
 
 void ConfigDelivery::leave() {
-  impl_->peerStatus.leaving = true;
+  impl_->peerStatus.draining = true;
   impl_->pollNow = true;
 }
 
@@ -516,7 +516,7 @@
   out.versionsBehind =
       impl.newestKnown > impl.stateVersion() ? impl.newestKnown.sequence - impl.stateVersion().sequence : 0;
   out.ageMs = impl.confirmedAt ? std::chrono::duration_cast<Ms>(now - *impl.confirmedAt) : Ms::max();
-  if (!impl.listed() && !impl.peerStatus.leaving) {
+  if (!impl.listed() && !impl.peerStatus.draining) {
     out.freshness = ConfigFreshness::notMember;
   } else if (impl.confirmedAt && now - *impl.confirmedAt <= impl.options.currentMs) {
     out.freshness = ConfigFreshness::confirmedByPrimary;
--- a/libs/gateway/include/limeramp/gateway/dialect.h
+++ b/libs/gateway/include/limeramp/gateway/dialect.h
@@ -2,8 +2,8 @@
 
 #include "limeramp/config/configuration.h"
 #include "limeramp/discovery/list.h"
-#include "limeramp/dispatch/machine.h"
-#include "limeramp/dispatch/part.h"
+#include "limeramp/dispatch/dispatcher.h"
+#include "limeramp/dispatch/shard_result.h"
 #include "limeramp/net/http.h"
 
 #include <absl/status/statusor.h>
@@ -39,16 +39,16 @@
   std::string request;
   std::string service;
   std::string cut;
-  std::string life;
+  std::string incarnation;
   std::string version;
   std::chrono::milliseconds remainingMs{0};
   bool part = false;
-  std::size_t result_size = 0;
+  std::size_t resultSize = 0;
 };
 
 struct Heard {
-  dispatch::Returned returned;
-  std::optional<dispatch::Part> part;
+  dispatch::AttemptFinished returned;
+  std::optional<dispatch::ShardResult> part;
   std::string reason;
 };
 
@@ -57,7 +57,7 @@
   std::string version;
   std::vector<std::string> services;
   std::vector<std::size_t> missing;
-  std::vector<dispatch::PartPtr> parts;
+  std::vector<dispatch::ShardResultPtr> parts;
   std::vector<std::string> records;
 };
 
--- a/libs/gateway/include/limeramp/gateway/request_plane.h
+++ b/libs/gateway/include/limeramp/gateway/request_plane.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "limeramp/config/configuration.h"
-#include "limeramp/dispatch/machine.h"
-#include "limeramp/dispatch/part.h"
+#include "limeramp/dispatch/dispatcher.h"
+#include "limeramp/dispatch/shard_result.h"
 #include "limeramp/gateway/dialect.h"
 #include "limeramp/net/http.h"
 
@@ -37,7 +37,7 @@
 };
 struct Ground {
   std::uint64_t attempt = 0;
-  absl::StatusOr<dispatch::Part> part;
+  absl::StatusOr<dispatch::ShardResult> part;
   std::optional<double> load;
 };
 struct Merged {
@@ -48,14 +48,14 @@
   config::SnapshotPtr snapshot;
 };
 struct Tables {
-  dispatch::Servers servers;
+  dispatch::ServersUpdated servers;
 };
 struct Owners {
   std::string cell;
   std::vector<std::string> addresses;
 };
 struct Placed {
-  dispatch::Place place;
+  dispatch::FleetPosition place;
 };
 struct Tick {};
 
@@ -79,21 +79,21 @@
 struct Grind {
   std::uint64_t attempt = 0;
   std::string body;
-  dispatch::Stamp expected;
-  std::size_t result_size = 0;
+  dispatch::ShardStamp expected;
+  std::size_t resultSize = 0;
   std::optional<double> load;
 };
 struct Merge {
   std::uint64_t request = 0;
-  std::vector<dispatch::PartPtr> parts;
-  std::size_t result_size = 0;
+  std::vector<dispatch::ShardResultPtr> parts;
+  std::size_t resultSize = 0;
 };
 
-using Effect = std::variant<Reply, SendOut, CancelOut, Grind, Merge, dispatch::Note>;
+using Effect = std::variant<Reply, SendOut, CancelOut, Grind, Merge, dispatch::LogEntry>;
 
 class Plane {
  public:
-  Plane(Self const& self, dispatch::Policy const& policy, Dialect dialect = ownDialect());
+  Plane(Self const& self, dispatch::DispatchOptions const& policy, Dialect dialect = ownDialect());
   ~Plane();
   Plane(Plane&&) noexcept;
   Plane& operator=(Plane&&) noexcept;
@@ -101,7 +101,7 @@
   std::vector<Effect> step(TimePoint now, Event const& event);
   std::optional<TimePoint> nextWake(TimePoint now) const;
   config::SnapshotPtr snapshot() const;
-  std::vector<dispatch::ServerView> servers(TimePoint now) const;
+  std::vector<dispatch::ServerStatus> servers(TimePoint now) const;
   dispatch::Counters counters() const;
   std::size_t requests() const;
 
--- a/libs/gateway/src/configuration_in_force.cpp
+++ b/libs/gateway/src/configuration_in_force.cpp
@@ -54,7 +54,7 @@
   }
   for (std::string const& service : services) {
     if (!next.contains(service)) {
-      step(Tables{dispatch::Servers{service, {}}});
+      step(Tables{dispatch::ServersUpdated{service, {}}});
     }
   }
   services = std::move(next);
@@ -65,21 +65,21 @@
 
 void GatewayServer::Impl::updatePlace() {
   messages::State const& state = *delivery.state();
-  dispatch::Place own;
+  dispatch::FleetPosition own;
   own.zone = settings.zone;
   own.budgetRatio = settings.extraRatio;
-  own.fronts = std::max<std::size_t>(1, state.roster.size());
+  own.gatewayCount = std::max<std::size_t>(1, state.roster.size());
   std::uint64_t const slots = std::max<std::uint64_t>(minBudgetSlots, (state.roster.size() * 5 / 4 + 9) / 10 * 10);
   std::size_t index = 0;
   for (messages::RosterEntry const& entry : state.roster) {
     if (entry.node == settings.node && entry.address == settings.advertise) {
-      own.rank = index;
+      own.gatewayIndex = index;
       own.budgetDepth = entry.slot < slots ? settings.extraSlack * slackShare / static_cast<double>(slots) : 0;
     }
     ++index;
   }
   if (draining) {
-    own.fronts = leavingFronts;
+    own.gatewayCount = leavingFronts;
     own.budgetDepth = 0;
   }
   step(Placed{own});
@@ -123,10 +123,10 @@
   config::Configuration const& configuration = plane.snapshot()->configuration;
   std::set<std::string> const evacuated = control::evacuatedZones(*delivery.state(), configuration);
   Clock::time_point const now = Clock::now();
-  dispatch::Servers servers{service, directory.rows(now, service)};
-  for (dispatch::ServerRow& row : servers.rows) {
-    row.leaving = row.leaving || evacuated.contains(row.zone);
-    row.coldPerSecond = configuration.services.at(service).coldPerSecond;
+  dispatch::ServersUpdated servers{service, directory.rows(now, service)};
+  for (dispatch::ServerEndpoint& row : servers.rows) {
+    row.draining = row.draining || evacuated.contains(row.zone);
+    row.warmupPerSecond = configuration.services.at(service).warmupPerSecond;
     boundConnections(row.address, configuration.services.at(service).maxConnections);
     if (row.slowStartMs.count() == 0) {
       row.slowStartMs = configuration.services.at(service).slowStartMs;
--- a/libs/gateway/src/dialect.cpp
+++ b/libs/gateway/src/dialect.cpp
@@ -118,8 +118,8 @@
   headers.emplace_back(shardHeader, asked.service);
   headers.emplace_back(deadlineHeader, std::to_string(asked.remainingMs.count()));
   headers.emplace_back(versionHeader, asked.version);
-  if (!asked.life.empty()) {
-    headers.emplace_back(lifeHeader, asked.life);
+  if (!asked.incarnation.empty()) {
+    headers.emplace_back(lifeHeader, asked.incarnation);
   }
 }
 
@@ -127,8 +127,8 @@
   Heard out;
   out.returned.verdict = retry::Verdict::ran;
   out.returned.load = loadOf(answer.headers);
-  out.returned.otherLife = answer.status == 421;
-  if (out.returned.otherLife) {
+  out.returned.staleIncarnation = answer.status == 421;
+  if (out.returned.staleIncarnation) {
     out.returned.verdict = retry::Verdict::notRun;
     return out;
   }
@@ -149,7 +149,7 @@
   }
   body += "],\"stamps\":[";
   bool first = true;
-  for (dispatch::PartPtr const& part : gathered.parts) {
+  for (dispatch::ShardResultPtr const& part : gathered.parts) {
     body += std::string(first ? "" : ",") + "{\"shard\":" + json(part->stamp.shard) +
             ",\"cut\":" + json(part->stamp.cut) + "}";
     first = false;
--- a/libs/gateway/src/forwarding.cpp
+++ b/libs/gateway/src/forwarding.cpp
@@ -134,20 +134,20 @@
 void GatewayServer::Impl::apply(Grind const& effect) {
   std::uint64_t const attempt = effect.attempt;
   std::optional<double> const load = effect.load;
-  workers.read(effect.body, effect.expected, effect.result_size,
-               [this, attempt, load](absl::StatusOr<dispatch::Part> part) {
+  workers.read(effect.body, effect.expected, effect.resultSize,
+               [this, attempt, load](absl::StatusOr<dispatch::ShardResult> part) {
                  post(Event(Ground{attempt, std::move(part), load}));
                });
 }
 
 void GatewayServer::Impl::apply(Merge const& effect) {
   std::uint64_t const request = effect.request;
-  workers.merge(effect.parts, effect.result_size, [this, request](std::vector<std::string> records) {
+  workers.merge(effect.parts, effect.resultSize, [this, request](std::vector<std::string> records) {
     post(Event(Merged{request, std::move(records)}));
   });
 }
 
-void GatewayServer::Impl::apply(dispatch::Note const& note) {
+void GatewayServer::Impl::apply(dispatch::LogEntry const& note) {
   logging::raise(note.event, {{"service", note.service}, {"about", note.server}});
 }
 
--- a/libs/gateway/src/gateway_server.cpp
+++ b/libs/gateway/src/gateway_server.cpp
@@ -17,18 +17,18 @@
 /// What is left of the grace time for the last answers to be written.
 constexpr Ms lastAnswersMs{300};
 
-dispatch::Policy dispatchPolicyOf(config::Settings const& settings) {
-  dispatch::Policy policy;
-  policy.maxRequests = settings.maxRequests;
-  policy.rerun = settings.rerun;
-  return policy;
+dispatch::DispatchOptions dispatchOptionsOf(config::Settings const& settings) {
+  dispatch::DispatchOptions options;
+  options.maxRequests = settings.maxRequests;
+  options.hedge = settings.rerun;
+  return options;
 }
 
 discovery::DeskPolicy directoryPolicyOf(config::Settings const& settings) {
-  discovery::DeskPolicy policy;
-  policy.listMs = settings.listMs;
-  policy.pageMs = settings.listPageMs;
-  return policy;
+  discovery::DeskPolicy options;
+  options.listMs = settings.listMs;
+  options.pageMs = settings.listPageMs;
+  return options;
 }
 
 net::ClientBounds clientBounds() {
@@ -62,7 +62,7 @@
       peerLink(network, settingsIn.node, settingsIn.advertise),
       workers(settingsIn.hands),
       boot(net::randomWord() >> 1),
-      plane(Self{settingsIn.node, settingsIn.advertise, settingsIn.zone, boot}, dispatchPolicyOf(settingsIn), dialect),
+      plane(Self{settingsIn.node, settingsIn.advertise, settingsIn.zone, boot}, dispatchOptionsOf(settingsIn), dialect),
       views({}, messages::Peer{settingsIn.node, settingsIn.advertise, settingsIn.zone, messages::gatewayRole, boot, 0},
             settingsIn.seeds, net::randomWord()),
       delivery({}, messages::Follower{settingsIn.node, settingsIn.advertise, settingsIn.zone, 0, 0}, boot,
--- a/libs/gateway/src/gateway_server_impl.h
+++ b/libs/gateway/src/gateway_server_impl.h
@@ -95,7 +95,7 @@
   void apply(CancelOut const& effect) { client.cancel(effect.attempt); }
   void apply(Grind const& effect);
   void apply(Merge const& effect);
-  void apply(dispatch::Note const& note);
+  void apply(dispatch::LogEntry const& note);
   void countHeld(int change);
 
   // Calls under /limeramp: operator_calls.cpp.
@@ -135,7 +135,7 @@
   net::Network network;
   net::HttpClient client;
   node::PeerLink peerLink;
-  dispatch::Mill workers;
+  dispatch::MergeWorkers workers;
   std::deque<InboundMessage> inboundMessages;
   bool handling = false;
   Clock::time_point nextTick = Clock::now();
--- a/libs/gateway/src/list_reader.cpp
+++ b/libs/gateway/src/list_reader.cpp
@@ -19,7 +19,7 @@
   }
   if (step.emptyHeld && listTrouble != "empty") {
     listTrouble = "empty";
-    logging::raise(logging::Event::listEmptyHeld, {{"platform", settings.platform}});
+    logging::raise(logging::Event::emptyListIgnored, {{"platform", settings.platform}});
   }
   if (step.readList) {
     readList(step.page);
--- a/libs/gateway/src/request_plane.cpp
+++ b/libs/gateway/src/request_plane.cpp
@@ -19,12 +19,12 @@
   config::SnapshotPtr snapshot;
   config::Search const* search = nullptr;
   bool carried = false;
-  bool repeatable = false;
+  bool idempotent = false;
   std::string id;
   TimePoint deadline;
   std::vector<std::string> services;
   std::vector<std::string> cuts;
-  std::vector<dispatch::PartPtr> parts;
+  std::vector<dispatch::ShardResultPtr> parts;
   std::optional<net::Answer> answer;
   std::vector<std::size_t> missing;
 };
@@ -32,16 +32,16 @@
 }  // namespace
 
 struct Plane::Impl {
-  Impl(Self const& selfIn, dispatch::Policy const& policy, Dialect dialectIn)
+  Impl(Self const& selfIn, dispatch::DispatchOptions const& policy, Dialect dialectIn)
       : self(selfIn), dialect(std::move(dialectIn)), machine(policy) {}
 
   Self self;
   Dialect dialect;
-  dispatch::Machine machine;
+  dispatch::Dispatcher machine;
   config::SnapshotPtr snapshot;
   std::unordered_map<std::uint64_t, Open> open;
   std::unordered_map<std::uint64_t, Outgoing> outgoing;
-  std::unordered_map<std::uint64_t, dispatch::PartPtr> ground;
+  std::unordered_map<std::uint64_t, dispatch::ShardResultPtr> ground;
   std::unordered_map<std::uint64_t, net::Answer> answers;
   std::map<std::string, std::vector<std::string>> owners;
   std::vector<Effect> effects;
@@ -57,16 +57,16 @@
   void on(Placed const& event) { drive(event.place); }
   void on(Tick const&) { drive(dispatch::Tick{}); }
 
-  void drive(dispatch::Event const& event);
-  void carry(dispatch::Send const& send);
-  void carry(dispatch::Cancel const& cancel);
-  void carry(dispatch::Keep const& keep);
-  void carry(dispatch::Finish const& finish);
-  void carry(dispatch::Note const& note) { effects.emplace_back(note); }
+  void drive(dispatch::DispatchEvent const& event);
+  void carry(dispatch::SendAttempt const& send);
+  void carry(dispatch::CancelAttempt const& cancel);
+  void carry(dispatch::AcceptShardResult const& keep);
+  void carry(dispatch::FinishRequest const& finish);
+  void carry(dispatch::LogEntry const& note) { effects.emplace_back(note); }
   void reply(std::uint64_t request, net::Answer answer);
   void refuse(std::uint64_t request, Refusal const& refusal);
-  void keepAnswer(Exchanged const& event, dispatch::Returned const& returned);
-  void onMessage(std::uint64_t attempt, dispatch::Returned const& returned, dispatch::Part part);
+  void keepAnswer(Exchanged const& event, dispatch::AttemptFinished const& returned);
+  void onMessage(std::uint64_t attempt, dispatch::AttemptFinished const& returned, dispatch::ShardResult part);
   Asked askedOf(Open const& entry, std::size_t leg) const;
 };
 
@@ -74,8 +74,8 @@
   effects.emplace_back(Reply{request, std::move(answer)});
 }
 
-void Plane::Impl::drive(dispatch::Event const& event) {
-  for (dispatch::Effect const& effect : machine.step(now, event)) {
+void Plane::Impl::drive(dispatch::DispatchEvent const& event) {
+  for (dispatch::DispatchEffect const& effect : machine.step(now, event)) {
     std::visit([this](auto const& concrete) { carry(concrete); }, effect);
   }
 }
@@ -84,10 +84,10 @@
 
 void Plane::Impl::on(Owners const& event) {
   owners[event.cell] = event.addresses;
-  dispatch::Servers servers;
+  dispatch::ServersUpdated servers;
   servers.service = "@" + event.cell;
   for (std::string const& address : event.addresses) {
-    dispatch::ServerRow row;
+    dispatch::ServerEndpoint row;
     row.address = address;
     row.capacity = 1e6;
     servers.rows.push_back(row);
@@ -106,7 +106,7 @@
   asked.cut = entry.cuts.empty() ? "" : entry.cuts[leg];
   asked.version = entry.snapshot->version.text();
   asked.part = entry.search != nullptr;
-  asked.result_size = entry.search == nullptr ? 0 : entry.search->result_size;
+  asked.resultSize = entry.search == nullptr ? 0 : entry.search->resultSize;
   return asked;
 }
 
@@ -143,7 +143,7 @@
   }
   Ms waitMs{0};
   Ms aimMs{0};
-  dispatch::Arrive arrive;
+  dispatch::RequestArrived arrive;
   arrive.request = event.request;
   arrive.tenant = caller.tenant;
   if (config::Search const* const* const search = std::get_if<config::Search const*>(&found)) {
@@ -156,19 +156,19 @@
       entry.services.push_back(shard.service);
       entry.cuts.push_back(shard.cut);
     }
-    arrive.minimum = (*search)->minimum_shards;
-    arrive.max_attempts = (*search)->max_attempts;
-    arrive.repeatable = true;
+    arrive.minimum = (*search)->minimumShards;
+    arrive.maxAttempts = (*search)->maxAttempts;
+    arrive.idempotent = true;
   } else {
     config::Route const* const route = std::get<config::Route const*>(found);
     waitMs = route->deadlineMs;
     aimMs = route->aimMs;
     arrive.priority = route->priority;
     arrive.kind = configuration.searches.size() + static_cast<std::size_t>(route - configuration.routes.data());
-    entry.repeatable = route->repeatable;
+    entry.idempotent = route->idempotent;
     entry.services.push_back(config::chooseService(*route, entry.id));
-    arrive.max_attempts = route->max_attempts;
-    arrive.repeatable = route->repeatable;
+    arrive.maxAttempts = route->maxAttempts;
+    arrive.idempotent = route->idempotent;
   }
   if (caller.remainingMs) {
     waitMs = std::min(waitMs, *caller.remainingMs);
@@ -187,18 +187,18 @@
     entry.search = nullptr;
     entry.services = {"@" + cell->name};
     arrive.minimum = 1;
-    arrive.max_attempts = 2;
-    arrive.repeatable = false;
+    arrive.maxAttempts = 2;
+    arrive.idempotent = false;
   }
   entry.parts.resize(entry.services.size());
   arrive.services = entry.services;
   arrive.deadline = entry.deadline;
-  arrive.aim = aimMs.count() == 0 ? entry.deadline : std::min(entry.deadline, now + aimMs);
+  arrive.latencyTarget = aimMs.count() == 0 ? entry.deadline : std::min(entry.deadline, now + aimMs);
   open.emplace(event.request, std::move(entry));
   drive(arrive);
 }
 
-void Plane::Impl::carry(dispatch::Send const& send) {
+void Plane::Impl::carry(dispatch::SendAttempt const& send) {
   Open const& entry = open.at(send.request);
   SendOut out;
   out.attempt = send.attempt;
@@ -209,24 +209,24 @@
   out.carried = entry.carried;
   if (!entry.carried) {
     out.content.headers = net::withoutHopByHop(out.content.headers);
-    Asked asked = askedOf(entry, send.leg);
-    asked.life = send.life;
+    Asked asked = askedOf(entry, send.shard);
+    asked.incarnation = send.incarnation;
     asked.remainingMs = std::max(Ms(1), out.remainingMs);
     dialect.writeAsk(out.content, asked);
   }
-  outgoing.emplace(send.attempt, Outgoing{send.request, send.leg});
+  outgoing.emplace(send.attempt, Outgoing{send.request, send.shard});
   effects.emplace_back(std::move(out));
 }
 
-void Plane::Impl::carry(dispatch::Cancel const& cancel) {
+void Plane::Impl::carry(dispatch::CancelAttempt const& cancel) {
   outgoing.erase(cancel.attempt);
   effects.emplace_back(CancelOut{cancel.attempt});
 }
 
-void Plane::Impl::carry(dispatch::Keep const& keep) {
+void Plane::Impl::carry(dispatch::AcceptShardResult const& keep) {
   Open& entry = open.at(keep.request);
   if (entry.search != nullptr) {
-    entry.parts[keep.leg] = ground.at(keep.attempt);
+    entry.parts[keep.shard] = ground.at(keep.attempt);
     ground.erase(keep.attempt);
   } else {
     entry.answer = std::move(answers.at(keep.attempt));
@@ -235,19 +235,20 @@
   outgoing.erase(keep.attempt);
 }
 
-void Plane::Impl::carry(dispatch::Finish const& finish) {
+void Plane::Impl::carry(dispatch::FinishRequest const& finish) {
   std::unordered_map<std::uint64_t, Open>::iterator const found = open.find(finish.request);
   Open& entry = found->second;
-  bool const answered = finish.ending == dispatch::Ending::complete || finish.ending == dispatch::Ending::partial;
+  bool const answered =
+      finish.outcome == dispatch::RequestOutcome::complete || finish.outcome == dispatch::RequestOutcome::partial;
   if (answered && entry.search != nullptr) {
     entry.missing = finish.missing;
-    std::vector<dispatch::PartPtr> parts;
-    for (dispatch::PartPtr const& part : entry.parts) {
+    std::vector<dispatch::ShardResultPtr> parts;
+    for (dispatch::ShardResultPtr const& part : entry.parts) {
       if (part != nullptr) {
         parts.push_back(part);
       }
     }
-    effects.emplace_back(Merge{finish.request, std::move(parts), entry.search->result_size});
+    effects.emplace_back(Merge{finish.request, std::move(parts), entry.search->resultSize});
     return;
   }
   if (answered) {
@@ -274,7 +275,7 @@
   }
   Open const& entry = open.at(found->second.request);
   net::Exchange const& exchange = event.exchange;
-  dispatch::Returned returned;
+  dispatch::AttemptFinished returned;
   returned.attempt = event.attempt;
   returned.verdict = exchange.verdict;
   if (!exchange.answer || exchange.answer->endedByClose) {
@@ -298,7 +299,7 @@
   Heard heard = dialect.readAnswer(*exchange.answer, asked);
   heard.returned.attempt = event.attempt;
   if (!asked.part) {
-    if (heard.returned.good && !heard.returned.healthy && entry.repeatable &&
+    if (heard.returned.good && !heard.returned.healthy && entry.idempotent &&
         heard.returned.verdict != retry::Verdict::notRun) {
       heard.returned.good = false;
     }
@@ -307,18 +308,18 @@
     onMessage(event.attempt, heard.returned, std::move(*heard.part));
   } else if (!heard.returned.good) {
     if (!heard.reason.empty()) {
-      effects.emplace_back(dispatch::Note{logging::Event::partRefused, asked.service, heard.reason});
+      effects.emplace_back(dispatch::LogEntry{logging::Event::shardResultRejected, asked.service, heard.reason});
     }
     outgoing.erase(found);
     drive(heard.returned);
   } else {
     effects.emplace_back(Grind{event.attempt, exchange.answer->body,
-                               dispatch::Stamp{asked.service, asked.cut, asked.request}, asked.result_size,
+                               dispatch::ShardStamp{asked.service, asked.cut, asked.request}, asked.resultSize,
                                heard.returned.load});
   }
 }
 
-void Plane::Impl::keepAnswer(Exchanged const& event, dispatch::Returned const& returned) {
+void Plane::Impl::keepAnswer(Exchanged const& event, dispatch::AttemptFinished const& returned) {
   if (returned.good) {
     answers.emplace(event.attempt, *event.exchange.answer);
   } else {
@@ -328,8 +329,9 @@
   answers.erase(event.attempt);
 }
 
-void Plane::Impl::onMessage(std::uint64_t attempt, dispatch::Returned const& returned, dispatch::Part part) {
-  ground.emplace(attempt, std::make_shared<dispatch::Part const>(std::move(part)));
+void Plane::Impl::onMessage(std::uint64_t attempt, dispatch::AttemptFinished const& returned,
+                            dispatch::ShardResult part) {
+  ground.emplace(attempt, std::make_shared<dispatch::ShardResult const>(std::move(part)));
   drive(returned);
   ground.erase(attempt);
 }
@@ -339,7 +341,7 @@
   if (found == outgoing.end()) {
     return;
   }
-  dispatch::Returned returned;
+  dispatch::AttemptFinished returned;
   returned.attempt = event.attempt;
   returned.verdict = retry::Verdict::ran;
   returned.load = event.load;
@@ -348,8 +350,9 @@
     onMessage(event.attempt, returned, *event.part);
   } else {
     Outgoing const place = found->second;
-    effects.emplace_back(dispatch::Note{logging::Event::partRefused, open.at(place.request).services[place.leg],
-                                        std::string(event.part.status().message())});
+    effects.emplace_back(dispatch::LogEntry{logging::Event::shardResultRejected,
+                                            open.at(place.request).services[place.leg],
+                                            std::string(event.part.status().message())});
     outgoing.erase(found);
     drive(returned);
   }
@@ -366,7 +369,7 @@
   gathered.version = entry.snapshot->version.text();
   gathered.services = entry.services;
   gathered.missing = entry.missing;
-  for (dispatch::PartPtr const& part : entry.parts) {
+  for (dispatch::ShardResultPtr const& part : entry.parts) {
     if (part != nullptr) {
       gathered.parts.push_back(part);
     }
@@ -377,7 +380,7 @@
   open.erase(found);
 }
 
-Plane::Plane(Self const& self, dispatch::Policy const& policy, Dialect dialect)
+Plane::Plane(Self const& self, dispatch::DispatchOptions const& policy, Dialect dialect)
     : impl_(std::make_unique<Impl>(self, policy, std::move(dialect))) {}
 Plane::~Plane() = default;
 Plane::Plane(Plane&&) noexcept = default;
@@ -392,7 +395,7 @@
 
 std::optional<TimePoint> Plane::nextWake(TimePoint now) const { return impl_->machine.nextWake(now); }
 config::SnapshotPtr Plane::snapshot() const { return impl_->snapshot; }
-std::vector<dispatch::ServerView> Plane::servers(TimePoint now) const { return impl_->machine.servers(now); }
+std::vector<dispatch::ServerStatus> Plane::servers(TimePoint now) const { return impl_->machine.servers(now); }
 dispatch::Counters Plane::counters() const { return impl_->machine.counters(); }
 std::size_t Plane::requests() const { return impl_->open.size(); }
 
--- a/libs/gateway/src/status_pages.cpp
+++ b/libs/gateway/src/status_pages.cpp
@@ -18,13 +18,13 @@
          ",\"role\":" + json(peer.role) + ",\"age_ms\":" + std::to_string(peer.ageMs) + "}";
 }
 
-std::string serverJson(dispatch::ServerView const& server) {
+std::string serverJson(dispatch::ServerStatus const& server) {
   char numbers[96];
   std::snprintf(numbers, sizeof numbers, ",\"latency_ms\":%.2f,\"load\":%.3f,\"in_flight\":%zu", server.latencyMs,
                 server.load, server.inFlight);
   return "{\"service\":" + json(server.service) + ",\"address\":" + json(server.address) +
-         ",\"zone\":" + json(server.zone) + ",\"down\":" + json(server.down) + ",\"leaving\":" + json(server.leaving) +
-         ",\"fresh\":" + json(server.fresh) + numbers + "}";
+         ",\"zone\":" + json(server.zone) + ",\"down\":" + json(server.ejected) +
+         ",\"leaving\":" + json(server.draining) + ",\"fresh\":" + json(server.warmingUp) + numbers + "}";
 }
 
 template <typename Element>
@@ -61,12 +61,12 @@
   return table;
 }
 
-query::Sheet serversTable(std::vector<dispatch::ServerView> const& servers) {
+query::Sheet serversTable(std::vector<dispatch::ServerStatus> const& servers) {
   query::Sheet table{
       "servers", {"service", "address", "zone", "in_flight", "latency_ms", "down", "leaving", "fresh", "load"}, {}};
-  for (dispatch::ServerView const& server : servers) {
+  for (dispatch::ServerStatus const& server : servers) {
     table.rows.push_back({server.service, server.address, server.zone, static_cast<std::int64_t>(server.inFlight),
-                          server.latencyMs, whole(server.down), whole(server.leaving), whole(server.fresh),
+                          server.latencyMs, whole(server.ejected), whole(server.draining), whole(server.warmingUp),
                           server.load});
   }
   return table;
@@ -76,11 +76,11 @@
   query::Sheet table{"entries", {"name", "kind", "tenant", "prefix", "deadline_ms", "max_attempts"}, {}};
   for (config::Search const& search : configuration.searches) {
     table.rows.push_back({search.name, std::string("search"), search.tenant, search.prefix, search.deadlineMs.count(),
-                          static_cast<std::int64_t>(search.max_attempts)});
+                          static_cast<std::int64_t>(search.maxAttempts)});
   }
   for (config::Route const& route : configuration.routes) {
     table.rows.push_back({route.name, std::string("route"), route.tenant, route.prefix, route.deadlineMs.count(),
-                          static_cast<std::int64_t>(route.max_attempts)});
+                          static_cast<std::int64_t>(route.maxAttempts)});
   }
   return table;
 }
@@ -183,12 +183,12 @@
   for (std::pair<char const*, std::uint64_t> const& entry :
        {std::pair<char const*, std::uint64_t>("arrivals_total", counters.arrivals),
         std::pair<char const*, std::uint64_t>("attempts_total", counters.attempts),
-        std::pair<char const*, std::uint64_t>("extra_attempts_total", counters.extras),
+        std::pair<char const*, std::uint64_t>("extra_attempts_total", counters.hedgedAttempts),
         std::pair<char const*, std::uint64_t>("retries_total", counters.retries),
-        std::pair<char const*, std::uint64_t>("lost_races_total", counters.lostRaces),
-        std::pair<char const*, std::uint64_t>("missing_shards_total", counters.missing),
-        std::pair<char const*, std::uint64_t>("refused_total", counters.refused + refusedStale),
-        std::pair<char const*, std::uint64_t>("budget_spent_total", counters.budgetSpent)}) {
+        std::pair<char const*, std::uint64_t>("lost_races_total", counters.supersededAttempts),
+        std::pair<char const*, std::uint64_t>("missing_shards_total", counters.missingShards),
+        std::pair<char const*, std::uint64_t>("refused_total", counters.rejected + refusedStale),
+        std::pair<char const*, std::uint64_t>("budget_spent_total", counters.retryBudgetExhausted)}) {
     body += std::string("# TYPE limeramp_") + entry.first + " counter\nlimeramp_" + entry.first + " " +
             std::to_string(entry.second) + "\n";
   }
--- a/libs/messages/include/limeramp/messages/messages.h
+++ b/libs/messages/include/limeramp/messages/messages.h
@@ -302,13 +302,13 @@
   static constexpr char const* name = "Bearing";
   std::string node;
   std::uint64_t boot = 0;
-  bool leaving = false;
+  bool draining = false;
   std::vector<IncarnationRecord> incarnations;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
     visit("node", self.node);
     visit("boot", self.boot);
-    visit("leaving", self.leaving);
+    visit("leaving", self.draining);
     visit("vouched", self.incarnations);
   }
 };
@@ -436,21 +436,21 @@
   std::string address;
   std::string zone;
   double capacity = 0;
-  bool leaving = false;
+  bool draining = false;
   std::uint64_t slowStartMs = 0;
   std::uint64_t ageMs = 0;
-  std::string life{};
-  std::uint64_t coldMs = 0;
+  std::string incarnation{};
+  std::uint64_t warmupMs = 0;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
     visit("address", self.address);
     visit("zone", self.zone);
     visit("capacity", self.capacity);
-    visit("leaving", self.leaving);
+    visit("leaving", self.draining);
     visit("slowStartMs", self.slowStartMs);
     visit("ageMs", self.ageMs);
-    visit("life", self.life);
-    visit("coldMs", self.coldMs);
+    visit("life", self.incarnation);
+    visit("coldMs", self.warmupMs);
   }
 };
 
--- a/libs/retry/include/limeramp/retry/ledger.h
+++ b/libs/retry/include/limeramp/retry/attempt_log.h
@@ -11,18 +11,18 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
-enum class Phase { assigned, complete, failed, cancelled };
+enum class AttemptState { assigned, complete, failed, cancelled };
 
 struct Attempt {
   std::uint64_t id = 0;
   std::uint64_t server = 0;
   TimePoint began;
-  Phase phase = Phase::assigned;
+  AttemptState state = AttemptState::assigned;
   Verdict verdict = Verdict::mayHaveRun;
   bool reached = true;
 };
 
-class Ledger {
+class AttemptLog {
  public:
   static constexpr std::size_t maxUnreached = 4;
 
@@ -34,29 +34,29 @@
   bool hasOpen() const;
   bool isComplete() const;
   bool hasTried(std::uint64_t server) const;
-  bool mayAttemptAgain(std::size_t maxAttempts, bool repeatable) const;
+  bool mayAttemptAgain(std::size_t maxAttempts, bool idempotent) const;
   bool mayHaveRun() const;
   bool hasReached() const;
   TimePoint lastBegan() const;
   std::vector<Attempt> const& attempts() const { return attempts_; }
 
  private:
-  void close(std::uint64_t attempt, Phase phase, Verdict verdict, bool reached);
+  void close(std::uint64_t attempt, AttemptState state, Verdict verdict, bool reached);
 
   std::vector<Attempt> attempts_;
 };
 
-class Budget {
+class RetryBudget {
  public:
   void set(double depth, double ratio);
-  void earn();
-  bool spend();
-  double left() const { return left_; }
+  void deposit();
+  bool withdraw();
+  double balance() const { return balance_; }
 
  private:
   double depth_ = 0;
   double ratio_ = 0;
-  double left_ = 0;
+  double balance_ = 0;
 };
 
 }  // namespace limeramp::retry
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -792,7 +792,7 @@
     roads.startAll();
     ASSERT_EQ(insist(roads, "first", 1), control::OrderStatus::taken) << seed;
     std::vector<std::uint64_t> tickets;
-    std::set<std::size_t> leaving;
+    std::set<std::size_t> draining;
     for (int round = 0; round < 250; ++round) {
       roads.run(Ms(20 + static_cast<long>(roads.network.roll(120))));
       if (round % 3 == 0) {
@@ -853,7 +853,7 @@
         case 12:
           if (machine.gateway && machine.up) {
             roads.leave(index);
-            leaving.insert(index);
+            draining.insert(index);
           }
           break;
         case 13:
@@ -865,7 +865,7 @@
     }
     roads.mendAll();
     for (std::size_t index = 0; index < roads.machines.size(); ++index) {
-      if (leaving.contains(index) && roads.machines[index].up) {
+      if (draining.contains(index) && roads.machines[index].up) {
         roads.kill(index);
       }
       if (!roads.machines[index].up) {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -47,8 +47,8 @@
     List out;
     std::size_t const from = token.empty() ? 0 : std::stoul(token.substr(2));
     std::size_t at = 0;
-    for (std::pair<std::string const, std::vector<dispatch::ServerRow>> const& service : list.services) {
-      for (dispatch::ServerRow const& row : service.second) {
+    for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& service : list.services) {
+      for (dispatch::ServerEndpoint const& row : service.second) {
         if (at >= from && at < from + pageRows) {
           out.services[service.first].push_back(row);
           ++out.rows;
@@ -70,8 +70,8 @@
 
   std::map<std::size_t, std::uint64_t> lives;
 
-  void tick(std::size_t index, std::uint64_t life) {
-    if (!nodes[index].up || lives[index] != life) {
+  void tick(std::size_t index, std::uint64_t incarnation) {
+    if (!nodes[index].up || lives[index] != incarnation) {
       return;
     }
     Around around;
@@ -80,7 +80,7 @@
       around.zoneAddresses.push_back(node.address);
     }
     follow(index, nodes[index].desk->tick(network.now(), around));
-    network.after(Ms(20), [this, index, life] { tick(index, life); });
+    network.after(Ms(20), [this, index, incarnation] { tick(index, incarnation); });
   }
 
   void follow(std::size_t index, DeskStep const& step) {
@@ -107,10 +107,10 @@
     if (step.readList) {
       ++reads;
       readAt.push_back(network.now());
-      std::uint64_t const life = lives[index];
+      std::uint64_t const incarnation = lives[index];
       std::string const page = step.page;
-      network.after(Ms(5 + static_cast<long>(network.roll(40))), [this, index, life, page] {
-        if (!nodes[index].up || lives[index] != life) {
+      network.after(Ms(5 + static_cast<long>(network.roll(40))), [this, index, incarnation, page] {
+        if (!nodes[index].up || lives[index] != incarnation) {
           return;
         }
         if (nodes[index].readsList && !overRate) {
@@ -122,7 +122,7 @@
     }
   }
 
-  void put(std::string const& service, dispatch::ServerRow const& row) {
+  void put(std::string const& service, dispatch::ServerEndpoint const& row) {
     list.services[service].push_back(row);
     ++list.rows;
   }
@@ -130,8 +130,8 @@
   void run(Ms time) { network.runUntil(network.now() + time); }
 };
 
-dispatch::ServerRow rowAt(std::string const& address) {
-  dispatch::ServerRow row;
+dispatch::ServerEndpoint rowAt(std::string const& address) {
+  dispatch::ServerEndpoint row;
   row.address = address;
   row.zone = "z1";
   row.slowStartMs = Ms(5000);
@@ -156,14 +156,14 @@
     if (zone.network.chance(0.5)) {
       zone.nodes[victim].up = false;
     }
-    zone.list.services["a"][0].leaving = true;
+    zone.list.services["a"][0].draining = true;
     simulator::TimePoint const shown = zone.network.now();
     std::vector<bool> seen(4, false);
     for (int round = 0; round < 150; ++round) {
       zone.run(Ms(20));
       for (std::size_t index = 0; index < 4; ++index) {
-        std::vector<dispatch::ServerRow> const rows = zone.nodes[index].desk->rows(zone.network.now(), "a");
-        if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].leaving) {
+        std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].desk->rows(zone.network.now(), "a");
+        if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].draining) {
           seen[index] = true;
           worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - shown));
         }
@@ -212,14 +212,14 @@
       }
     });
     zone.run(Ms(400));
-    zone.list.services["a"][0].leaving = true;
+    zone.list.services["a"][0].draining = true;
     simulator::TimePoint const shown = zone.network.now();
     std::vector<bool> seen(zone.nodes.size(), false);
     for (int round = 0; round < 300; ++round) {
       zone.run(Ms(10));
       for (std::size_t index = 0; index < zone.nodes.size(); ++index) {
-        std::vector<dispatch::ServerRow> const rows = zone.nodes[index].desk->rows(zone.network.now(), "a");
-        if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].leaving) {
+        std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].desk->rows(zone.network.now(), "a");
+        if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].draining) {
           seen[index] = true;
           worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - shown));
         }
@@ -251,10 +251,10 @@
     bool gone = false;
     for (int round = 0; round < 400; ++round) {
       zone.run(Ms(20));
-      std::vector<dispatch::ServerRow> const rows = zone.nodes[0].desk->rows(zone.network.now(), "a");
+      std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[0].desk->rows(zone.network.now(), "a");
       lost = lost || rows.size() < 4;
       gone = rows.size() == 4 &&
-             std::none_of(rows.begin(), rows.end(), [](dispatch::ServerRow const& row) { return row.leaving; });
+             std::none_of(rows.begin(), rows.end(), [](dispatch::ServerEndpoint const& row) { return row.draining; });
     }
     EXPECT_FALSE(lost) << pageRows;
     EXPECT_TRUE(gone) << pageRows;
@@ -266,33 +266,33 @@
   zone.put("a", rowAt("s1"));
   zone.run(Ms(4000));
   std::size_t before = zone.changes;
-  dispatch::ServerRow& row = zone.list.services["a"][0];
-  row.coldMs = Ms(3000);
+  dispatch::ServerEndpoint& row = zone.list.services["a"][0];
+  row.warmupMs = Ms(3000);
   for (int round = 0; round < 100; ++round) {
     zone.run(Ms(20));
-    row.coldMs -= Ms(20);
+    row.warmupMs -= Ms(20);
   }
   EXPECT_EQ(zone.changes - before, 3u);
   for (Node const& node : zone.nodes) {
-    EXPECT_NEAR(static_cast<double>(node.desk->rows(zone.network.now(), "a")[0].coldMs.count()), 1000, 150);
+    EXPECT_NEAR(static_cast<double>(node.desk->rows(zone.network.now(), "a")[0].warmupMs.count()), 1000, 150);
   }
   before = zone.changes;
-  row.coldMs = Ms(9000);
+  row.warmupMs = Ms(9000);
   zone.run(Ms(1000));
   EXPECT_GE(zone.changes - before, 3u);
   for (Node const& node : zone.nodes) {
-    EXPECT_GT(node.desk->rows(zone.network.now(), "a")[0].coldMs, Ms(7900));
+    EXPECT_GT(node.desk->rows(zone.network.now(), "a")[0].warmupMs, Ms(7900));
   }
-  row.coldMs = Ms(0);
+  row.warmupMs = Ms(0);
   zone.run(Ms(1000));
   for (Node const& node : zone.nodes) {
-    EXPECT_EQ(node.desk->rows(zone.network.now(), "a")[0].coldMs, Ms(0));
+    EXPECT_EQ(node.desk->rows(zone.network.now(), "a")[0].warmupMs, Ms(0));
   }
   EXPECT_GT(zone.nodes[0].desk->rows(zone.network.now(), "a")[0].ageMs, Ms(5000));
-  row.life = "l2";
+  row.incarnation = "l2";
   zone.run(Ms(1500));
   for (Node const& node : zone.nodes) {
-    EXPECT_EQ(node.desk->rows(zone.network.now(), "a")[0].life, "l2");
+    EXPECT_EQ(node.desk->rows(zone.network.now(), "a")[0].incarnation, "l2");
     EXPECT_LT(node.desk->rows(zone.network.now(), "a")[0].ageMs, Ms(1600));
   }
 }
@@ -307,10 +307,10 @@
   zone.run(Ms(10'000));
   EXPECT_LE(zone.readAt.size(), 8u * 10'000 / 1600 + 8);
   zone.overRate = false;
-  zone.list.services["a"][0].leaving = true;
+  zone.list.services["a"][0].draining = true;
   zone.run(Ms(3000));
   for (Node const& node : zone.nodes) {
-    EXPECT_TRUE(node.desk->rows(zone.network.now(), "a")[0].leaving);
+    EXPECT_TRUE(node.desk->rows(zone.network.now(), "a")[0].draining);
   }
   zone.run(Ms(5000));
   zone.readAt.clear();
@@ -323,8 +323,8 @@
   absl::StatusOr<List> const list = readList(
       R"({"servers":[{"address":"127.0.0.1:1","service":"a","zone":"z","capacity":3,"life":"l1","cold_ms":250}],"next_page":"x"})");
   ASSERT_TRUE(list.ok());
-  EXPECT_EQ(list->services.at("a")[0].life, "l1");
-  EXPECT_EQ(list->services.at("a")[0].coldMs, Ms(250));
+  EXPECT_EQ(list->services.at("a")[0].incarnation, "l1");
+  EXPECT_EQ(list->services.at("a")[0].warmupMs, Ms(250));
   EXPECT_EQ(list->nextPage, "x");
   EXPECT_TRUE(readList(R"({"servers":[],"next_page":null})")->nextPage.empty());
 }
@@ -341,7 +341,7 @@
   zone.run(Ms(3000));
   for (Node const& node : zone.nodes) {
     EXPECT_TRUE(node.desk->rows(zone.network.now(), "a").empty());
-    std::vector<dispatch::ServerRow> const rows = node.desk->rows(zone.network.now(), "b");
+    std::vector<dispatch::ServerEndpoint> const rows = node.desk->rows(zone.network.now(), "b");
     ASSERT_EQ(rows.size(), 2u);
     EXPECT_EQ(rows[0].zone, "z2");
     EXPECT_EQ(rows[0].capacity, 25);
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -1,5 +1,5 @@
-#include "limeramp/dispatch/machine.h"
-#include "limeramp/dispatch/part.h"
+#include "limeramp/dispatch/dispatcher.h"
+#include "limeramp/dispatch/shard_result.h"
 
 #include <gtest/gtest.h>
 
@@ -19,44 +19,44 @@
 TimePoint const start{std::chrono::hours(1)};
 
 struct Bench {
-  explicit Bench(Policy const& policy = {}) : machine(policy) {}
+  explicit Bench(DispatchOptions const& options = {}) : dispatcher(options) {}
 
-  Machine machine;
+  Dispatcher dispatcher;
   TimePoint now = start;
-  std::vector<Send> sent;
+  std::vector<SendAttempt> sent;
   std::vector<std::uint64_t> cancelled;
-  std::vector<Keep> kept;
-  std::vector<Finish> finished;
+  std::vector<AcceptShardResult> kept;
+  std::vector<FinishRequest> finished;
 
-  void step(Event const& event) {
-    for (Effect const& effect : machine.step(now, event)) {
-      if (Send const* const send = std::get_if<Send>(&effect)) {
+  void step(DispatchEvent const& event) {
+    for (DispatchEffect const& effect : dispatcher.step(now, event)) {
+      if (SendAttempt const* const send = std::get_if<SendAttempt>(&effect)) {
         sent.push_back(*send);
-      } else if (Cancel const* const cancel = std::get_if<Cancel>(&effect)) {
+      } else if (CancelAttempt const* const cancel = std::get_if<CancelAttempt>(&effect)) {
         cancelled.push_back(cancel->attempt);
-      } else if (Keep const* const keep = std::get_if<Keep>(&effect)) {
+      } else if (AcceptShardResult const* const keep = std::get_if<AcceptShardResult>(&effect)) {
         kept.push_back(*keep);
-      } else if (Finish const* const finish = std::get_if<Finish>(&effect)) {
+      } else if (FinishRequest const* const finish = std::get_if<FinishRequest>(&effect)) {
         finished.push_back(*finish);
       }
     }
   }
   void servers(std::string const& service, std::size_t count) {
-    Servers event{service, {}};
+    ServersUpdated event{service, {}};
     for (std::size_t index = 0; index < count; ++index) {
-      ServerRow row;
+      ServerEndpoint row;
       row.address = service + "-" + std::to_string(index);
       event.rows.push_back(row);
     }
     step(event);
   }
-  void place(double depth) { step(Place{1, 0, depth}); }
+  void place(double depth) { step(FleetPosition{1, 0, depth}); }
   void arrive(std::uint64_t request, std::vector<std::string> services, std::size_t minimum, std::size_t most,
-              bool repeatable, Ms deadlineMs, std::string const& tenant = "t") {
-    step(Arrive{request, tenant, std::move(services), minimum, most, repeatable, now + deadlineMs});
+              bool idempotent, Ms deadlineMs, std::string const& tenant = "t") {
+    step(RequestArrived{request, tenant, std::move(services), minimum, most, idempotent, now + deadlineMs});
   }
-  void good(std::uint64_t attempt) { step(Returned{attempt, true, true, retry::Verdict::ran, {}}); }
-  void bad(std::uint64_t attempt, retry::Verdict verdict) { step(Returned{attempt, false, false, verdict, {}}); }
+  void good(std::uint64_t attempt) { step(AttemptFinished{attempt, true, true, retry::Verdict::ran, {}}); }
+  void bad(std::uint64_t attempt, retry::Verdict verdict) { step(AttemptFinished{attempt, false, false, verdict, {}}); }
   void pass(Ms passedMs) {
     for (Ms done{0}; done < passedMs; done += Ms(5)) {
       now += Ms(5);
@@ -77,9 +77,9 @@
 };
 
 TEST(Queue, AnIdleServerTakesTheNextQueryOfItsOwnShardOnly) {
-  Policy policy;
-  policy.concurrentPerServer = 1;
-  Bench bench(policy);
+  DispatchOptions options;
+  options.maxConcurrentPerServer = 1;
+  Bench bench(options);
   bench.servers("a", 1);
   bench.servers("b", 1);
   bench.arrive(1, {"a", "b"}, 2, 1, true, Ms(500));
@@ -105,16 +105,16 @@
     bench.pass(Ms(200));
     EXPECT_EQ(bench.sent.size(), depth > 0 ? 2u : 1u);
     if (depth > 0) {
-      EXPECT_TRUE(bench.sent[1].extra);
+      EXPECT_TRUE(bench.sent[1].hedged);
       EXPECT_NE(bench.sent[0].server, bench.sent[1].server);
     }
   }
 }
 
 TEST(Rerun, AWaitingQueryGoesBeforeAStraggler) {
-  Policy policy;
-  policy.concurrentPerServer = 1;
-  Bench bench(policy);
+  DispatchOptions options;
+  options.maxConcurrentPerServer = 1;
+  Bench bench(options);
   bench.servers("a", 2);
   bench.warm("a", 5);
   bench.arrive(1, {"a"}, 1, 2, true, Ms(500));
@@ -125,7 +125,7 @@
   bench.good(bench.sent[1].attempt);
   ASSERT_EQ(bench.sent.size(), 3u);
   EXPECT_EQ(bench.sent[2].request, 3u);
-  EXPECT_FALSE(bench.sent[2].extra);
+  EXPECT_FALSE(bench.sent[2].hedged);
 }
 
 TEST(Rerun, AForwardThatIsNotRepeatableIsNeverSentTwiceUnlessItDidNotRun) {
@@ -164,20 +164,20 @@
       bench.good(bench.sent[static_cast<std::size_t>(move)].attempt);
     }
     ASSERT_EQ(bench.finished.size(), 1u);
-    EXPECT_EQ(bench.finished[0].ending, Ending::complete);
+    EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::complete);
     std::set<std::size_t> legs;
-    for (Keep const& keep : bench.kept) {
-      EXPECT_TRUE(legs.insert(keep.leg).second);
+    for (AcceptShardResult const& keep : bench.kept) {
+      EXPECT_TRUE(legs.insert(keep.shard).second);
     }
     EXPECT_EQ(legs.size(), 2u);
     EXPECT_EQ(bench.cancelled.size(), 2u);
-    EXPECT_EQ(bench.machine.requests(), 0u);
+    EXPECT_EQ(bench.dispatcher.requests(), 0u);
     ++tried;
   } while (std::next_permutation(moves.begin(), moves.end()));
   EXPECT_EQ(tried, 24u);
 }
 
-TEST(Ending, AShardWithNoServerLeftIsLeftOutAtOnce) {
+TEST(RequestOutcome, AShardWithNoServerLeftIsLeftOutAtOnce) {
   Bench bench;
   bench.servers("a", 1);
   bench.servers("b", 1);
@@ -186,23 +186,23 @@
   EXPECT_TRUE(bench.finished.empty());
   bench.good(bench.sent[1].attempt);
   ASSERT_EQ(bench.finished.size(), 1u);
-  EXPECT_EQ(bench.finished[0].ending, Ending::partial);
+  EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::partial);
   EXPECT_EQ(bench.finished[0].missing, std::vector<std::size_t>{0});
 }
 
-TEST(Ending, TooFewShardsFailAtOnceAndNotAtTheDeadline) {
+TEST(RequestOutcome, TooFewShardsFailAtOnceAndNotAtTheDeadline) {
   Bench bench;
   bench.servers("a", 1);
   bench.servers("b", 1);
   bench.arrive(1, {"a", "b"}, 2, 1, true, Ms(5000));
   bench.bad(bench.sent[0].attempt, retry::Verdict::mayHaveRun);
   ASSERT_EQ(bench.finished.size(), 1u);
-  EXPECT_EQ(bench.finished[0].ending, Ending::failed);
+  EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::failed);
   EXPECT_EQ(bench.finished[0].verdict, retry::Verdict::mayHaveRun);
   EXPECT_EQ(bench.cancelled, std::vector<std::uint64_t>{bench.sent[1].attempt});
 }
 
-TEST(Ending, AtTheDeadlineWithTooFewShardsItIsAFailureWhateverMightStillCome) {
+TEST(RequestOutcome, AtTheDeadlineWithTooFewShardsItIsAFailureWhateverMightStillCome) {
   Bench bench;
   for (std::string const name : {"a", "b", "c"}) {
     bench.servers(name, 1);
@@ -211,11 +211,11 @@
   bench.good(bench.sent[0].attempt);
   bench.pass(Ms(295));
   ASSERT_EQ(bench.finished.size(), 1u);
-  EXPECT_EQ(bench.finished[0].ending, Ending::failed);
+  EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::failed);
   EXPECT_EQ(bench.finished[0].missing, (std::vector<std::size_t>{1, 2}));
 }
 
-TEST(Ending, BeforeTheDeadlineWithTheMinimumItAnswersWithoutTheSlowShard) {
+TEST(RequestOutcome, BeforeTheDeadlineWithTheMinimumItAnswersWithoutTheSlowShard) {
   Bench bench;
   bench.servers("a", 1);
   bench.servers("b", 1);
@@ -223,38 +223,38 @@
   bench.good(bench.sent[0].attempt);
   bench.pass(Ms(295));
   ASSERT_EQ(bench.finished.size(), 1u);
-  EXPECT_EQ(bench.finished[0].ending, Ending::partial);
+  EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::partial);
   bench.good(bench.sent[1].attempt);
   EXPECT_EQ(bench.kept.size(), 1u);
 }
 
 TEST(Refusal, IsSaidOnlyWhenNoByteWentOut) {
-  Policy policy;
-  policy.maxWaitingPerTenant = 2;
-  policy.concurrentPerServer = 1;
-  Bench bench(policy);
+  DispatchOptions options;
+  options.maxWaitingPerTenant = 2;
+  options.maxConcurrentPerServer = 1;
+  Bench bench(options);
   bench.servers("a", 1);
   for (std::uint64_t request = 1; request <= 4; ++request) {
     bench.arrive(request, {"a"}, 1, 1, false, Ms(500));
   }
   ASSERT_EQ(bench.finished.size(), 1u);
-  EXPECT_EQ(bench.finished[0].ending, Ending::refused);
+  EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::refused);
   EXPECT_TRUE(bench.finished[0].retryAfter.has_value());
   bench.pass(Ms(500));
   ASSERT_EQ(bench.finished.size(), 4u);
   std::set<std::uint64_t> touched;
-  for (Send const& send : bench.sent) {
+  for (SendAttempt const& send : bench.sent) {
     touched.insert(send.request);
   }
-  for (Finish const& finish : bench.finished) {
+  for (FinishRequest const& finish : bench.finished) {
     EXPECT_EQ(finish.verdict == retry::Verdict::notRun, !touched.contains(finish.request));
   }
 }
 
 TEST(Fairness, AFloodingTenantDoesNotStarveAnother) {
-  Policy policy;
-  policy.concurrentPerServer = 1;
-  Bench bench(policy);
+  DispatchOptions options;
+  options.maxConcurrentPerServer = 1;
+  Bench bench(options);
   bench.servers("a", 1);
   for (std::uint64_t request = 1; request <= 100; ++request) {
     bench.arrive(request, {"a"}, 1, 1, true, Ms(5000), "flood");
@@ -272,15 +272,15 @@
   bench.arrive(1, {"a"}, 1, 2, true, Ms(500));
   bench.pass(Ms(100));
   bench.good(bench.sent[1].attempt);
-  for (ServerView const& server : bench.machine.servers(bench.now)) {
-    EXPECT_FALSE(server.down);
+  for (ServerStatus const& server : bench.dispatcher.servers(bench.now)) {
+    EXPECT_FALSE(server.ejected);
   }
   bench.pass(Ms(2000));
   std::size_t refused = 0;
   for (std::uint64_t request = 10; request < 40; ++request) {
     bench.arrive(request, {"a"}, 1, 2, true, Ms(500));
-    while (bench.machine.requests() > 0) {
-      Send const last = bench.sent.back();
+    while (bench.dispatcher.requests() > 0) {
+      SendAttempt const last = bench.sent.back();
       if (last.server == "a-1") {
         ++refused;
         bench.bad(last.attempt, retry::Verdict::notRun);
@@ -295,19 +295,19 @@
     bench.arrive(request, {"a"}, 1, 2, true, Ms(500));
     bench.good(bench.sent.back().attempt);
   }
-  for (ServerView const& server : bench.machine.servers(bench.now)) {
-    EXPECT_FALSE(server.down) << server.address;
+  for (ServerStatus const& server : bench.dispatcher.servers(bench.now)) {
+    EXPECT_FALSE(server.ejected) << server.address;
   }
 }
 
 TEST(Restarted, AServerThatRefusedOnceAndAnswersAgainIsFresh) {
   for (bool const refusedOnce : {false, true}) {
     Bench bench;
-    ServerRow row;
+    ServerEndpoint row;
     row.address = "a0";
     row.slowStartMs = Ms(4000);
     row.ageMs = Ms(60'000);
-    bench.step(Servers{"a", {row}});
+    bench.step(ServersUpdated{"a", {row}});
     bench.arrive(1, {"a"}, 1, 2, true, Ms(500));
     if (refusedOnce) {
       bench.bad(bench.sent.back().attempt, retry::Verdict::notRun);
@@ -317,34 +317,34 @@
     bench.now += Ms(300);
     bench.arrive(2, {"a"}, 1, 2, true, Ms(500));
     bench.good(bench.sent.back().attempt);
-    EXPECT_EQ(bench.machine.servers(bench.now).front().fresh, refusedOnce);
+    EXPECT_EQ(bench.dispatcher.servers(bench.now).front().warmingUp, refusedOnce);
   }
 }
 
-ServerRow rowOf(std::string const& address, std::string const& life = "") {
-  ServerRow row;
+ServerEndpoint rowOf(std::string const& address, std::string const& incarnation = "") {
+  ServerEndpoint row;
   row.address = address;
-  row.life = life;
+  row.incarnation = incarnation;
   return row;
 }
 
-Returned refusedBy(std::uint64_t attempt, bool full, bool otherLife) {
-  Returned returned;
+AttemptFinished refusedBy(std::uint64_t attempt, bool full, bool staleIncarnation) {
+  AttemptFinished returned;
   returned.attempt = attempt;
   returned.verdict = retry::Verdict::notRun;
-  returned.full = full;
-  returned.otherLife = otherLife;
+  returned.overCapacity = full;
+  returned.staleIncarnation = staleIncarnation;
   return returned;
 }
 
 TEST(Life, AnotherLifeAtTheSameAddressIsAnotherServerWithoutMarks) {
   Bench bench;
-  bench.step(Servers{"a", {rowOf("s", "l1"), rowOf("t", "l9")}});
+  bench.step(ServersUpdated{"a", {rowOf("s", "l1"), rowOf("t", "l9")}});
   for (std::uint64_t request = 1; request <= 4; ++request) {
     bench.arrive(request, {"a"}, 1, 2, true, Ms(500));
-    while (bench.machine.requests() > 0) {
-      Send const last = bench.sent.back();
-      EXPECT_EQ(last.life, last.server == "s" ? "l1" : "l9");
+    while (bench.dispatcher.requests() > 0) {
+      SendAttempt const last = bench.sent.back();
+      EXPECT_EQ(last.incarnation, last.server == "s" ? "l1" : "l9");
       if (last.server == "s") {
         bench.bad(last.attempt, retry::Verdict::notRun);
       } else {
@@ -352,26 +352,26 @@
       }
     }
   }
-  std::vector<ServerView> before = bench.machine.servers(bench.now);
-  EXPECT_TRUE(before[0].down);
+  std::vector<ServerStatus> before = bench.dispatcher.servers(bench.now);
+  EXPECT_TRUE(before[0].ejected);
   bench.arrive(5, {"a"}, 1, 1, true, Ms(500));
   std::uint64_t const old = bench.sent.back().attempt;
-  bench.step(Servers{"a", {rowOf("s", "l2")}});
-  EXPECT_FALSE(bench.machine.servers(bench.now)[0].down);
-  EXPECT_EQ(bench.machine.servers(bench.now)[0].inFlight, 0u);
+  bench.step(ServersUpdated{"a", {rowOf("s", "l2")}});
+  EXPECT_FALSE(bench.dispatcher.servers(bench.now)[0].ejected);
+  EXPECT_EQ(bench.dispatcher.servers(bench.now)[0].inFlight, 0u);
   bench.arrive(6, {"a"}, 1, 1, true, Ms(500));
-  EXPECT_EQ(bench.sent.back().life, "l2");
+  EXPECT_EQ(bench.sent.back().incarnation, "l2");
   bench.good(old);
-  EXPECT_EQ(bench.machine.servers(bench.now)[0].inFlight, 1u);
-  EXPECT_EQ(bench.machine.requests(), 1u);
+  EXPECT_EQ(bench.dispatcher.servers(bench.now)[0].inFlight, 1u);
+  EXPECT_EQ(bench.dispatcher.requests(), 1u);
 }
 
 TEST(Life, AServerThatIsAnotherOneTakesNoMoreWorkUntilTheListShowsItsNewLife) {
-  for (bool const repeatable : {true, false}) {
+  for (bool const idempotent : {true, false}) {
     Bench bench;
-    bench.step(Servers{"a", {rowOf("s", "l1"), rowOf("t", "l2")}});
+    bench.step(ServersUpdated{"a", {rowOf("s", "l1"), rowOf("t", "l2")}});
     bench.warm("a", 5);
-    bench.arrive(1, {"a"}, 1, 2, repeatable, Ms(500));
+    bench.arrive(1, {"a"}, 1, 2, idempotent, Ms(500));
     std::string const gone = bench.sent[0].server;
     bench.step(refusedBy(bench.sent[0].attempt, false, true));
     ASSERT_EQ(bench.sent.size(), 2u);
@@ -379,12 +379,12 @@
     bench.good(bench.sent[1].attempt);
     for (int round = 0; round < 200; ++round) {
       bench.now += Ms(100);
-      bench.step(Servers{"a", {rowOf("s", "l1"), rowOf("t", "l2")}});
+      bench.step(ServersUpdated{"a", {rowOf("s", "l1"), rowOf("t", "l2")}});
       bench.arrive(10 + static_cast<std::uint64_t>(round), {"a"}, 1, 2, true, Ms(500));
       EXPECT_NE(bench.sent.back().server, gone);
       bench.good(bench.sent.back().attempt);
     }
-    bench.step(Servers{"a", {rowOf("s", gone == "s" ? "l3" : "l1"), rowOf("t", gone == "t" ? "l3" : "l2")}});
+    bench.step(ServersUpdated{"a", {rowOf("s", gone == "s" ? "l3" : "l1"), rowOf("t", gone == "t" ? "l3" : "l2")}});
     bool used = false;
     for (int round = 0; round < 20; ++round) {
       bench.arrive(1000 + static_cast<std::uint64_t>(round), {"a"}, 1, 2, true, Ms(500));
@@ -396,13 +396,13 @@
 }
 
 TEST(Retry, WhatAServerRefusedUnrunGoesToAnotherOneIfAttemptsAndBudgetAllow) {
-  for (bool const repeatable : {true, false}) {
+  for (bool const idempotent : {true, false}) {
     for (std::size_t const most : {1u, 2u}) {
       for (double const depth : {0.0, 5.0}) {
         Bench bench;
         bench.servers("a", 3);
         bench.warm("a", depth);
-        bench.arrive(1, {"a"}, 1, most, repeatable, Ms(500));
+        bench.arrive(1, {"a"}, 1, most, idempotent, Ms(500));
         bench.step(refusedBy(bench.sent[0].attempt, true, false));
         if (most == 2 && depth > 0) {
           ASSERT_EQ(bench.sent.size(), 2u);
@@ -412,7 +412,7 @@
           EXPECT_EQ(bench.sent.size(), 2u);
         }
         ASSERT_EQ(bench.finished.size(), 1u);
-        EXPECT_EQ(bench.finished[0].ending, Ending::refused);
+        EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::refused);
         EXPECT_EQ(bench.finished[0].verdict, retry::Verdict::notRun);
         ASSERT_TRUE(bench.finished[0].retryAfter.has_value());
         EXPECT_GE(*bench.finished[0].retryAfter, Ms(20));
@@ -423,31 +423,31 @@
 }
 
 TEST(Retry, AServerNotReachedCostsNeitherBudgetNorAttemptsButTriesAreBounded) {
-  for (bool const repeatable : {true, false}) {
+  for (bool const idempotent : {true, false}) {
     Bench bench;
     bench.place(0);
     bench.servers("a", 9);
-    bench.arrive(1, {"a"}, 1, 1, repeatable, Ms(500));
+    bench.arrive(1, {"a"}, 1, 1, idempotent, Ms(500));
     bench.bad(bench.sent[0].attempt, retry::Verdict::notRun);
     ASSERT_EQ(bench.sent.size(), 2u);
     bench.good(bench.sent[1].attempt);
-    EXPECT_EQ(bench.finished.back().ending, Ending::complete);
-    bench.arrive(2, {"a"}, 1, 1, repeatable, Ms(500));
-    while (bench.machine.requests() > 0) {
+    EXPECT_EQ(bench.finished.back().outcome, RequestOutcome::complete);
+    bench.arrive(2, {"a"}, 1, 1, idempotent, Ms(500));
+    while (bench.dispatcher.requests() > 0) {
       bench.bad(bench.sent.back().attempt, retry::Verdict::notRun);
     }
-    EXPECT_EQ(bench.finished.back().ending, Ending::refused);
-    EXPECT_EQ(bench.sent.size(), 2u + retry::Ledger::maxUnreached + 1);
+    EXPECT_EQ(bench.finished.back().outcome, RequestOutcome::refused);
+    EXPECT_EQ(bench.sent.size(), 2u + retry::AttemptLog::maxUnreached + 1);
   }
 }
 
 TEST(Cold, IsTheLastResortWhenItBearsNothingAndTakesItsShareOtherwise) {
   for (double const perSecond : {0.0, 20.0}) {
     Bench bench;
-    ServerRow cold = rowOf("cold", "l1");
-    cold.coldMs = Ms(20'000);
-    cold.coldPerSecond = perSecond;
-    bench.step(Servers{"a", {cold, rowOf("warm", "l2")}});
+    ServerEndpoint cold = rowOf("cold", "l1");
+    cold.warmupMs = Ms(20'000);
+    cold.warmupPerSecond = perSecond;
+    bench.step(ServersUpdated{"a", {cold, rowOf("warm", "l2")}});
     bench.pass(Ms(4000));
     std::size_t atCold = 0;
     for (std::uint64_t request = 1; request <= 400; ++request) {
@@ -461,9 +461,9 @@
       bench.now += Ms(10);
     }
     EXPECT_EQ(atCold > 0, perSecond > 0);
-    ServerRow leaving = rowOf("warm", "l2");
-    leaving.leaving = true;
-    bench.step(Servers{"a", {cold, leaving}});
+    ServerEndpoint draining = rowOf("warm", "l2");
+    draining.draining = true;
+    bench.step(ServersUpdated{"a", {cold, draining}});
     bench.arrive(9000, {"a"}, 1, 1, true, Ms(500));
     bench.pass(Ms(500));
     EXPECT_EQ(bench.sent.back().server, "cold");
@@ -476,8 +476,8 @@
   bench.pass(Ms(4000));
   bench.arrive(1, {"a"}, 1, 1, true, Ms(500));
   std::string const cold = bench.sent.back().server;
-  Returned returned{bench.sent.back().attempt, true, true, retry::Verdict::ran, {}};
-  returned.coldMs = Ms(1000);
+  AttemptFinished returned{bench.sent.back().attempt, true, true, retry::Verdict::ran, {}};
+  returned.warmupMs = Ms(1000);
   bench.step(returned);
   for (std::uint64_t request = 2; request <= 90; ++request) {
     bench.arrive(request, {"a"}, 1, 1, true, Ms(500));
@@ -499,12 +499,12 @@
   Bench bench;
   bench.servers("a", 1);
   bench.arrive(1, {"a"}, 1, 1, true, Ms(500));
-  Servers leaving{"a", {}};
-  ServerRow row;
+  ServersUpdated draining{"a", {}};
+  ServerEndpoint row;
   row.address = "a-0";
-  row.leaving = true;
-  leaving.rows.push_back(row);
-  bench.step(leaving);
+  row.draining = true;
+  draining.rows.push_back(row);
+  bench.step(draining);
   bench.arrive(2, {"a"}, 1, 1, true, Ms(500));
   EXPECT_EQ(bench.sent.size(), 1u);
   ASSERT_EQ(bench.finished.size(), 1u);
@@ -528,8 +528,9 @@
       bench.arrive(request, {"a"}, 1, 4, true, Ms(300));
       bench.step(Tick{});
       for (; seen < bench.sent.size(); ++seen) {
-        bool const first = std::none_of(bench.sent.begin(), bench.sent.begin() + static_cast<long>(seen),
-                                        [&](Send const& send) { return send.request == bench.sent[seen].request; });
+        bool const first =
+            std::none_of(bench.sent.begin(), bench.sent.begin() + static_cast<long>(seen),
+                         [&](SendAttempt const& send) { return send.request == bench.sent[seen].request; });
         arrivals.emplace_back(bench.now, first);
         if (request < 500 || random() % 3 != 0) {
           openAttempts.push_back(bench.sent[seen].attempt);
@@ -558,23 +559,23 @@
 }
 
 struct Rules {
-  explicit Rules(std::uint64_t seedIn, Policy const& policy = {}) : random(seedIn), bench(policy) {}
+  explicit Rules(std::uint64_t seedIn, DispatchOptions const& options = {}) : random(seedIn), bench(options) {}
 
   std::mt19937_64 random;
   Bench bench;
-  std::multimap<TimePoint, Send> due;
+  std::multimap<TimePoint, SendAttempt> due;
   std::size_t known = 0;
 
   std::uint64_t roll(std::uint64_t sides) { return random() % sides; }
-  void ask(std::uint64_t request, std::vector<std::string> services, std::size_t minimum, bool repeatable, Ms aimMs,
+  void ask(std::uint64_t request, std::vector<std::string> services, std::size_t minimum, bool idempotent, Ms aimMs,
            Ms deadlineMs, std::size_t priority = 0) {
-    bench.step(Arrive{request, "t", std::move(services), minimum, 3, repeatable, bench.now + deadlineMs,
-                      bench.now + aimMs, priority, 0});
+    bench.step(RequestArrived{request, "t", std::move(services), minimum, 3, idempotent, bench.now + deadlineMs,
+                              bench.now + aimMs, priority, 0});
   }
   void rows(std::string const& service, std::vector<std::string> const& zones) {
-    Servers event{service, {}};
+    ServersUpdated event{service, {}};
     for (std::size_t number = 0; number < zones.size(); ++number) {
-      ServerRow row;
+      ServerEndpoint row;
       row.address = service + "-" + std::to_string(number);
       row.zone = zones[number];
       event.rows.push_back(row);
@@ -591,7 +592,7 @@
     bench.servers("a", 2 + rules.roll(4));
     bench.warm("a", 5);
     std::map<std::uint64_t, TimePoint> deadlines;
-    std::map<std::uint64_t, Send> open;
+    std::map<std::uint64_t, SendAttempt> open;
     std::set<std::uint64_t> mayHaveRun;
     std::set<std::uint64_t> sentOnce;
     std::size_t known = 0;
@@ -605,9 +606,9 @@
         rules.ask(request, {"a"}, 1, false, deadlineMs / 4, deadlineMs);
       }
       if (!open.empty() && rules.roll(2) == 0) {
-        std::map<std::uint64_t, Send>::iterator at = open.begin();
+        std::map<std::uint64_t, SendAttempt>::iterator at = open.begin();
         std::advance(at, static_cast<long>(rules.roll(open.size())));
-        Send const send = at->second;
+        SendAttempt const send = at->second;
         open.erase(at);
         std::uint64_t const fate = rules.roll(4);
         if (fate == 0) {
@@ -622,10 +623,10 @@
       }
       bench.pass(Ms(5 * static_cast<long>(1 + rules.roll(4))));
       for (; known < bench.sent.size(); ++known) {
-        Send const& send = bench.sent[known];
+        SendAttempt const& send = bench.sent[known];
         EXPECT_FALSE(mayHaveRun.contains(send.request)) << "seed " << seed;
-        EXPECT_FALSE(send.extra) << "seed " << seed;
-        for (std::pair<std::uint64_t const, Send> const& other : open) {
+        EXPECT_FALSE(send.hedged) << "seed " << seed;
+        for (std::pair<std::uint64_t const, SendAttempt> const& other : open) {
           EXPECT_NE(other.second.request, send.request) << "seed " << seed;
         }
         resent += sentOnce.insert(send.request).second ? 0 : 1;
@@ -644,10 +645,10 @@
 }
 
 TEST(Refusal, ComesEarlyForWhatCannotBeInTimeLowestRankFirstAndSaysWhenToReturn) {
-  Policy policy;
-  policy.concurrentPerServer = 1;
-  policy.maxWaitingPerTenant = 4;
-  Rules rules(1, policy);
+  DispatchOptions options;
+  options.maxConcurrentPerServer = 1;
+  options.maxWaitingPerTenant = 4;
+  Rules rules(1, options);
   Bench& bench = rules.bench;
   bench.servers("a", 1);
   bench.warm("a", 0);
@@ -664,12 +665,12 @@
   EXPECT_EQ(bench.finished[1].request, 7u);
   bench.pass(Ms(25));
   EXPECT_GT(bench.finished.size(), 2u);
-  for (Finish const& finish : bench.finished) {
-    EXPECT_EQ(finish.ending, Ending::refused);
+  for (FinishRequest const& finish : bench.finished) {
+    EXPECT_EQ(finish.outcome, RequestOutcome::refused);
     EXPECT_EQ(finish.verdict, retry::Verdict::notRun);
     ASSERT_TRUE(finish.retryAfter.has_value());
-    EXPECT_GE(*finish.retryAfter, policy.retryMinMs);
-    EXPECT_LE(*finish.retryAfter, policy.retryMaxMs);
+    EXPECT_GE(*finish.retryAfter, options.retryMinMs);
+    EXPECT_LE(*finish.retryAfter, options.retryMaxMs);
     EXPECT_NE(finish.request, 1u);
   }
 }
@@ -689,7 +690,7 @@
       services.push_back("s" + std::to_string(shard));
       bench.servers(services.back(), 1);
     }
-    bench.step(Arrive{1, "t", services, row.minimum, 1, true, bench.now + Ms(400), bench.now + Ms(80), 0, 0});
+    bench.step(RequestArrived{1, "t", services, row.minimum, 1, true, bench.now + Ms(400), bench.now + Ms(80), 0, 0});
     for (std::size_t shard = 0; shard < row.in; ++shard) {
       bench.good(bench.sent[shard].attempt);
     }
@@ -698,7 +699,7 @@
     bench.pass(Ms(10));
     EXPECT_EQ(!bench.finished.empty(), row.goes) << row.in << " of " << row.shards;
     if (row.goes) {
-      EXPECT_EQ(bench.finished[0].ending, Ending::partial);
+      EXPECT_EQ(bench.finished[0].outcome, RequestOutcome::partial);
       EXPECT_EQ(bench.finished[0].missing.size(), row.shards - row.in);
     }
   }
@@ -716,30 +717,30 @@
                                          std::uint64_t firstRequest) {
   Bench& bench = rules.bench;
   std::map<std::string, std::size_t> counts;
-  std::multimap<TimePoint, Send>& due = rules.due;
+  std::multimap<TimePoint, SendAttempt>& due = rules.due;
   std::size_t& known = rules.known;
   std::uint64_t request = firstRequest;
   for (TimePoint const end = bench.now + lengthMs; bench.now < end; bench.now += Ms(1)) {
     while (!due.empty() && due.begin()->first <= bench.now) {
-      Send const send = due.begin()->second;
+      SendAttempt const send = due.begin()->second;
       due.erase(due.begin());
       bool const good = !answers.bad.contains(send.server);
       std::map<std::string, double>::const_iterator const load = answers.load.find(send.server);
-      bench.step(Returned{send.attempt,
-                          good,
-                          good,
-                          good ? retry::Verdict::ran : retry::Verdict::mayHaveRun,
-                          load == answers.load.end() ? std::nullopt : std::optional<double>(load->second),
-                          false,
-                          false,
-                          {}});
+      bench.step(AttemptFinished{send.attempt,
+                                 good,
+                                 good,
+                                 good ? retry::Verdict::ran : retry::Verdict::mayHaveRun,
+                                 load == answers.load.end() ? std::nullopt : std::optional<double>(load->second),
+                                 false,
+                                 false,
+                                 {}});
     }
     if (rules.roll(10) == 0) {
       rules.ask(++request, services, minimum, true, Ms(80), Ms(400));
     }
     bench.step(Tick{});
     for (; known < bench.sent.size(); ++known) {
-      Send const& send = bench.sent[known];
+      SendAttempt const& send = bench.sent[known];
       ++counts[send.server];
       std::map<std::string, Ms>::const_iterator const latency = answers.latencyMs.find(send.server);
       if (!answers.dark.contains(send.server)) {
@@ -755,7 +756,7 @@
 TEST(Dark, AServerGetsNoFurtherWorkAfterItsFirstOverdueAttempt) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Rules rules(seed);
-    rules.bench.step(Place{1, 0, 3});
+    rules.bench.step(FleetPosition{1, 0, 3});
     rules.rows("a", {"x", "y", "z", "w"});
     Answers answers;
     serve(rules, answers, Ms(2000), {"a"}, 1, 1000);
@@ -773,7 +774,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Rules rules(seed);
     Bench& bench = rules.bench;
-    bench.step(Place{1, 0, 3});
+    bench.step(FleetPosition{1, 0, 3});
     for (std::string const service : {"a", "b", "c", "d"}) {
       rules.rows(service, {"x", "y", "z", "w"});
     }
@@ -787,9 +788,10 @@
       std::size_t const before = bench.finished.size();
       rules.ask(request, services, 3, true, Ms(80), Ms(400));
       serve(rules, answers, Ms(30), services, 3, request * 100);
-      given += std::any_of(
-                   bench.finished.begin() + static_cast<long>(before), bench.finished.end(),
-                   [&](Finish const& finish) { return finish.request == request && finish.ending == Ending::partial; })
+      given += std::any_of(bench.finished.begin() + static_cast<long>(before), bench.finished.end(),
+                           [&](FinishRequest const& finish) {
+                             return finish.request == request && finish.outcome == RequestOutcome::partial;
+                           })
                    ? 1
                    : 0;
     }
@@ -801,7 +803,7 @@
     serve(rules, answers, Ms(500), services, 3, 30'000);
     std::size_t whole = 0;
     for (std::size_t index = returned; index < bench.finished.size(); ++index) {
-      whole += bench.finished[index].ending == Ending::complete ? 1 : 0;
+      whole += bench.finished[index].outcome == RequestOutcome::complete ? 1 : 0;
     }
     EXPECT_GE(whole * 10, (bench.finished.size() - returned) * 9) << "seed " << seed;
   }
@@ -812,7 +814,7 @@
     std::vector<std::size_t> got;
     for (long const timesTwo : {2L, 8L, 17L}) {
       Rules rules(seed);
-      rules.bench.step(Place{1, 0, 3});
+      rules.bench.step(FleetPosition{1, 0, 3});
       rules.rows("a", {"x", "y", "z", "w"});
       Answers answers;
       serve(rules, answers, Ms(1000), {"a"}, 1, 1000);
@@ -829,7 +831,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (std::size_t count = 1; count <= 4; ++count) {
       Rules rules(seed);
-      rules.bench.step(Place{1, 0, 3});
+      rules.bench.step(FleetPosition{1, 0, 3});
       rules.rows("a", {"x", "y", "z", "w"});
       Answers answers;
       serve(rules, answers, Ms(1000), {"a"}, 1, 1000);
@@ -839,8 +841,8 @@
       serve(rules, answers, Ms(200), {"a"}, 1, 2000);
       std::map<std::string, std::size_t> const got = serve(rules, answers, Ms(4000), {"a"}, 1, 3000);
       std::size_t down = 0;
-      for (ServerView const& server : rules.bench.machine.servers(rules.bench.now)) {
-        down += server.down ? 1 : 0;
+      for (ServerStatus const& server : rules.bench.dispatcher.servers(rules.bench.now)) {
+        down += server.ejected ? 1 : 0;
       }
       EXPECT_LE(down, 2u) << "seed " << seed << ", " << count << " bad";
       if (count == 1) {
@@ -853,7 +855,7 @@
 TEST(Zone, TheOwnOneIsPreferredAndLeftUnderLoadOrSlowness) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Rules rules(seed);
-    rules.bench.step(Place{1, 0, 3, 0.2, "x"});
+    rules.bench.step(FleetPosition{1, 0, 3, 0.2, "x"});
     rules.rows("a", {"x", "y", "z", "w"});
     Answers answers;
     for (int number = 0; number < 4; ++number) {
@@ -876,10 +878,10 @@
   }
 }
 
-TEST(Part, OnlyTheOneAskedForIsTaken) {
-  Stamp const stamp{"a", "c1", "r1"};
+TEST(ShardResult, OnlyTheOneAskedForIsTaken) {
+  ShardStamp const stamp{"a", "c1", "r1"};
   std::string const right = R"({"stamp":{"shard":"a","cut":"c1","request":"r1"},"records":["b","c","a"]})";
-  absl::StatusOr<Part> const part = readPart(right, stamp, 2);
+  absl::StatusOr<ShardResult> const part = parseShardResult(right, stamp, 2);
   ASSERT_TRUE(part.ok());
   EXPECT_EQ(part->records, (std::vector<std::string>{"c", "b"}));
   for (char const* const wrong :
@@ -890,16 +892,16 @@
         R"({"stamp":{"shard":"a","cut":"c1","request":"r1"}})",
         R"({"stamp":{"shard":"a","cut":"c1","request":"r1"},"records":[1]})", R"({"stamp":{"shard":"a","cut")", "",
         "[]", R"({"stamp":{"shard":"a","cut":"c1","request":"r1"},"records":["b"]}x)"}) {
-    EXPECT_FALSE(readPart(wrong, stamp, 2).ok()) << wrong;
+    EXPECT_FALSE(parseShardResult(wrong, stamp, 2).ok()) << wrong;
   }
 }
 
 TEST(Merge, TakesTheGreatestByteByByte) {
-  PartPtr const first = std::make_shared<Part const>(Part{{}, {"z", "b"}});
-  PartPtr const second = std::make_shared<Part const>(Part{{}, {"\xff", "ba", "a"}});
-  EXPECT_EQ(mergeParts({first, second}, 4), (std::vector<std::string>{"\xff", "z", "ba", "b"}));
-  EXPECT_EQ(mergeParts({first, second}, 1), (std::vector<std::string>{"\xff"}));
-  EXPECT_TRUE(mergeParts({}, 3).empty());
+  ShardResultPtr const first = std::make_shared<ShardResult const>(ShardResult{{}, {"z", "b"}});
+  ShardResultPtr const second = std::make_shared<ShardResult const>(ShardResult{{}, {"\xff", "ba", "a"}});
+  EXPECT_EQ(mergeShardResults({first, second}, 4), (std::vector<std::string>{"\xff", "z", "ba", "b"}));
+  EXPECT_EQ(mergeShardResults({first, second}, 1), (std::vector<std::string>{"\xff"}));
+  EXPECT_TRUE(mergeShardResults({}, 3).empty());
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/dispatch/machine.h"
+#include "limeramp/dispatch/dispatcher.h"
 #include "simulator/simulated_network.h"
 
 #include <gtest/gtest.h>
@@ -30,21 +30,21 @@
   TimePoint startedAt{};
   Ms slowStartMs{0};
   TimePoint coldUntil{};
-  double coldPerSecond = 0;
+  double warmupPerSecond = 0;
   std::vector<TimePoint> arrivals;
 };
 
 struct Fleet {
-  Fleet(std::uint64_t seed, std::size_t fronts, Policy const& policyIn) : network(seed), policy(policyIn) {
+  Fleet(std::uint64_t seed, std::size_t fronts, DispatchOptions const& policyIn) : network(seed), options(policyIn) {
     for (std::size_t index = 0; index < fronts; ++index) {
-      machines.emplace_back(policy);
+      machines.emplace_back(options);
       lives.push_back(0);
     }
   }
 
   SimulatedNetwork network;
-  Policy policy;
-  std::vector<Machine> machines;
+  DispatchOptions options;
+  std::vector<Dispatcher> machines;
   std::vector<std::uint64_t> lives;
   std::set<std::pair<std::size_t, std::uint64_t>> ticking;
   std::map<std::string, std::map<std::string, Server>> services;
@@ -63,15 +63,15 @@
 
   void tables(std::size_t front) {
     for (std::pair<std::string const, std::map<std::string, Server>> const& service : services) {
-      Servers event{service.first, {}};
+      ServersUpdated event{service.first, {}};
       for (std::pair<std::string const, Server> const& server : service.second) {
-        ServerRow row;
+        ServerEndpoint row;
         row.address = server.first;
         row.capacity = server.second.capacity;
         row.slowStartMs = server.second.slowStartMs;
         row.ageMs = std::chrono::duration_cast<Ms>(network.now() - server.second.startedAt);
-        row.coldMs = std::max(Ms(0), std::chrono::duration_cast<Ms>(server.second.coldUntil - network.now()));
-        row.coldPerSecond = server.second.coldPerSecond;
+        row.warmupMs = std::max(Ms(0), std::chrono::duration_cast<Ms>(server.second.coldUntil - network.now()));
+        row.warmupPerSecond = server.second.warmupPerSecond;
         event.rows.push_back(row);
       }
       step(front, event);
@@ -81,20 +81,20 @@
   bool live(std::size_t front) const { return ticking.contains({front, lives[front]}); }
 
   void start(std::size_t front) {
-    machines[front] = Machine(policy);
+    machines[front] = Dispatcher(options);
     ++lives[front];
-    step(front, Place{machines.size(), front, 60.0 / 20});
+    step(front, FleetPosition{machines.size(), front, 60.0 / 20});
     tables(front);
     ticking.insert({front, lives[front]});
     tick(front, lives[front]);
   }
 
-  void tick(std::size_t front, std::uint64_t life) {
-    if (lives[front] != life) {
+  void tick(std::size_t front, std::uint64_t incarnation) {
+    if (lives[front] != incarnation) {
       return;
     }
     step(front, Tick{});
-    network.after(Ms(5), [this, front, life] { tick(front, life); });
+    network.after(Ms(5), [this, front, incarnation] { tick(front, incarnation); });
   }
 
   void arrive(std::size_t front, std::vector<std::string> const& names, std::size_t minimum, Ms deadlineMs,
@@ -104,31 +104,31 @@
     tenants[{front, request}] = tenant;
     arrivedAt[{front, request}] = network.now();
     ++launched[tenant];
-    step(front, Arrive{request, tenant, names, minimum, 3, true, network.now() + deadlineMs});
+    step(front, RequestArrived{request, tenant, names, minimum, 3, true, network.now() + deadlineMs});
   }
 
-  void step(std::size_t front, Event const& event) {
-    for (Effect const& effect : machines[front].step(network.now(), event)) {
-      if (Send const* const send = std::get_if<Send>(&effect)) {
-        std::string const service = asked.at({front, send->request})[send->leg];
+  void step(std::size_t front, DispatchEvent const& event) {
+    for (DispatchEffect const& effect : machines[front].step(network.now(), event)) {
+      if (SendAttempt const* const send = std::get_if<SendAttempt>(&effect)) {
+        std::string const service = asked.at({front, send->request})[send->shard];
         Server& server = services[service][send->server];
         std::uint64_t const attempt = send->attempt;
-        std::uint64_t const life = lives[front];
+        std::uint64_t const incarnation = lives[front];
         if (server.dead) {
-          network.after(std::chrono::microseconds(300), [this, front, life, attempt] {
-            answer(front, life, Returned{attempt, false, false, retry::Verdict::notRun, {}});
+          network.after(std::chrono::microseconds(300), [this, front, incarnation, attempt] {
+            answer(front, incarnation, AttemptFinished{attempt, false, false, retry::Verdict::notRun, {}});
           });
           continue;
         }
-        bool const first = seen.emplace(front, send->request, send->leg).second;
+        bool const first = seen.emplace(front, send->request, send->shard).second;
         arrivals[service].emplace_back(network.now(), first);
         server.arrivals.push_back(network.now());
         if (server.silent) {
           continue;
         }
         if (server.failing) {
-          network.after(Ms(3), [this, front, life, attempt] {
-            answer(front, life, Returned{attempt, false, false, retry::Verdict::mayHaveRun, {}});
+          network.after(Ms(3), [this, front, incarnation, attempt] {
+            answer(front, incarnation, AttemptFinished{attempt, false, false, retry::Verdict::mayHaveRun, {}});
           });
           continue;
         }
@@ -136,8 +136,8 @@
           server.busyUntil = std::max(server.busyUntil, network.now()) +
                              std::chrono::microseconds(static_cast<long>(1e6 / server.capacity));
           network.after(std::chrono::duration_cast<std::chrono::microseconds>(server.busyUntil - network.now()) + Ms(5),
-                        [this, front, life, attempt] {
-                          answer(front, life, Returned{attempt, true, true, retry::Verdict::ran, {}});
+                        [this, front, incarnation, attempt] {
+                          answer(front, incarnation, AttemptFinished{attempt, true, true, retry::Verdict::ran, {}});
                         });
           continue;
         }
@@ -146,14 +146,14 @@
         std::chrono::microseconds const pause = std::chrono::duration_cast<std::chrono::microseconds>(
             std::max(server.pausedUntil, network.now()) - network.now());
         network.after(pause + std::chrono::microseconds(static_cast<long>(waitMs * 1000)),
-                      [this, front, life, attempt] {
-                        answer(front, life, Returned{attempt, true, true, retry::Verdict::ran, {}});
+                      [this, front, incarnation, attempt] {
+                        answer(front, incarnation, AttemptFinished{attempt, true, true, retry::Verdict::ran, {}});
                       });
-      } else if (Finish const* const finish = std::get_if<Finish>(&effect)) {
-        complete += finish->ending == Ending::complete ? 1 : 0;
-        partial += finish->ending == Ending::partial ? 1 : 0;
-        failed += finish->ending == Ending::failed || finish->ending == Ending::refused ? 1 : 0;
-        bool const good = finish->ending == Ending::complete || finish->ending == Ending::partial;
+      } else if (FinishRequest const* const finish = std::get_if<FinishRequest>(&effect)) {
+        complete += finish->outcome == RequestOutcome::complete ? 1 : 0;
+        partial += finish->outcome == RequestOutcome::partial ? 1 : 0;
+        failed += finish->outcome == RequestOutcome::failed || finish->outcome == RequestOutcome::refused ? 1 : 0;
+        bool const good = finish->outcome == RequestOutcome::complete || finish->outcome == RequestOutcome::partial;
         answered[tenants.at({front, finish->request})] += good ? 1 : 0;
         tenants.erase({front, finish->request});
         if (good) {
@@ -167,8 +167,8 @@
     }
   }
 
-  void answer(std::size_t front, std::uint64_t life, Returned const& event) {
-    if (lives[front] == life) {
+  void answer(std::size_t front, std::uint64_t incarnation, AttemptFinished const& event) {
+    if (lives[front] == incarnation) {
       step(front, event);
     }
   }
@@ -200,7 +200,7 @@
   double worst = 0;
   std::size_t extras = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    Fleet fleet(seed, 11, Policy{});
+    Fleet fleet(seed, 11, DispatchOptions{});
     std::vector<std::string> const names{"p0", "p1", "p2", "p3"};
     for (std::string const& name : names) {
       for (int number = 0; number < 4; ++number) {
@@ -239,7 +239,7 @@
 TEST(FleetRamp, AFreshServerIsNeverPushedPastOneAndAHalfTimesWhatItBears) {
   double worst = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Fleet fleet(seed, 11, Policy{});
+    Fleet fleet(seed, 11, DispatchOptions{});
     for (int number = 0; number < 4; ++number) {
       fleet.services["p0"]["p0-" + std::to_string(number)] = Server{};
     }
@@ -294,10 +294,10 @@
     std::size_t least = 1'000'000;
     for (std::size_t const fronts : {1u, 10u, 30u, 90u}) {
       for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        Fleet fleet(seed * 1000 + fronts, fronts, Policy{});
+        Fleet fleet(seed * 1000 + fronts, fronts, DispatchOptions{});
         Server cold;
         cold.coldUntil = fleet.network.now() + Ms(1'000'000);
-        cold.coldPerSecond = perSecond;
+        cold.warmupPerSecond = perSecond;
         fleet.services["p0"]["p0-0"] = cold;
         std::vector<std::size_t> roster;
         for (std::size_t front = 0; front < fronts; ++front) {
@@ -319,15 +319,15 @@
           }
           for (std::size_t other = 0; other < fronts; ++other) {
             std::vector<std::size_t>::iterator const at = std::find(roster.begin(), roster.end(), other);
-            Place const own{roster.size(), static_cast<std::size_t>(at - roster.begin()), 3.0};
+            FleetPosition const own{roster.size(), static_cast<std::size_t>(at - roster.begin()), 3.0};
             bool const in = at != roster.end();
-            std::uint64_t const life = fleet.lives[other];
-            fleet.network.after(Ms(static_cast<long>(fleet.network.roll(2000))), [&fleet, other, own, in, life] {
+            std::uint64_t const incarnation = fleet.lives[other];
+            fleet.network.after(Ms(static_cast<long>(fleet.network.roll(2000))), [&fleet, other, own, in, incarnation] {
               if (!in) {
                 ++fleet.lives[other];
-              } else if (fleet.lives[other] == life && fleet.live(other)) {
+              } else if (fleet.lives[other] == incarnation && fleet.live(other)) {
                 fleet.step(other, own);
-              } else if (fleet.lives[other] == life) {
+              } else if (fleet.lives[other] == incarnation) {
                 fleet.start(other);
                 fleet.step(other, own);
               }
@@ -351,7 +351,7 @@
   std::size_t least = 100'000;
   std::size_t sum = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    Fleet fleet(seed, 11, Policy{});
+    Fleet fleet(seed, 11, DispatchOptions{});
     for (int number = 0; number < 4; ++number) {
       Server server;
       server.capacity = 60;
@@ -376,7 +376,7 @@
   double worst = 1;
   std::size_t floodLeast = 1'000'000;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    Fleet fleet(seed, 11, Policy{});
+    Fleet fleet(seed, 11, DispatchOptions{});
     for (std::string const& name : names) {
       for (int number = 0; number < 4; ++number) {
         Server server;
@@ -423,11 +423,11 @@
   return text;
 }
 
-StragglerRow straggle(std::string const& trouble, Policy const& policy, std::uint64_t seeds) {
+StragglerRow straggle(std::string const& trouble, DispatchOptions const& options, std::uint64_t seeds) {
   StragglerRow row;
   std::vector<std::string> const names{"p0", "p1", "p2", "p3"};
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    Fleet fleet(seed, 11, policy);
+    Fleet fleet(seed, 11, options);
     for (std::string const& name : names) {
       for (int number = 0; number < 4; ++number) {
         fleet.services[name][name + "-" + std::to_string(number)] = Server{};
@@ -449,8 +449,8 @@
     fleet.partial = 0;
     fleet.arrivals.clear();
     std::uint64_t lost = 0;
-    for (Machine const& machine : fleet.machines) {
-      lost -= machine.counters().lostRaces;
+    for (Dispatcher const& machine : fleet.machines) {
+      lost -= machine.counters().supersededAttempts;
     }
     for (int round = 0; round < 12; ++round) {
       for (int pauses = 0; trouble == "pauses" && pauses < 2; ++pauses) {
@@ -461,8 +461,8 @@
       fleet.load(320, Ms(500), names, 3, Ms(400));
     }
     fleet.network.runUntil(fleet.network.now() + Ms(600));
-    for (Machine const& machine : fleet.machines) {
-      lost += machine.counters().lostRaces;
+    for (Dispatcher const& machine : fleet.machines) {
+      lost += machine.counters().supersededAttempts;
     }
     double first = 0;
     double extra = 0;
@@ -486,10 +486,10 @@
   std::map<std::string, std::map<std::string, StragglerRow>> table;
   for (std::string const trouble : {"calm", "ragged", "slow", "pauses", "dead shard"}) {
     for (std::string const way : {"off", "1.0", "1.5", "2.0", "3.0", "0.4 of the deadline"}) {
-      Policy policy;
-      policy.rerun = way != "off";
-      policy.stragglerFactor = way[0] == '0' ? 1e6 : policy.rerun ? std::stod(way) : 1;
-      StragglerRow const row = straggle(trouble, policy, seeds);
+      DispatchOptions options;
+      options.hedge = way != "off";
+      options.stragglerFactor = way[0] == '0' ? 1e6 : options.hedge ? std::stod(way) : 1;
+      StragglerRow const row = straggle(trouble, options, seeds);
       std::printf(
           "%-10s %-19s p50 %s ms, p99 %s ms, extra %s %% of arrivals, losers %s %% of extra, shards missing %zu\n",
           trouble.c_str(), way.c_str(), spreadOf(row.p50).c_str(), spreadOf(row.p99).c_str(),
@@ -507,30 +507,31 @@
 
 TEST(FleetHandOut, ADepartureIsHeededInEveryOrderWithAnAnswer) {
   for (int order = 0; order < 6; ++order) {
-    Policy policy;
-    policy.concurrentPerServer = 1;
-    Machine machine(policy);
+    DispatchOptions options;
+    options.maxConcurrentPerServer = 1;
+    Dispatcher machine(options);
     TimePoint const now{std::chrono::hours(1)};
-    std::vector<Send> sent;
-    std::function<void(Event const&)> const step = [&](Event const& event) {
-      for (Effect const& effect : machine.step(now, event)) {
-        if (Send const* const send = std::get_if<Send>(&effect)) {
+    std::vector<SendAttempt> sent;
+    std::function<void(DispatchEvent const&)> const step = [&](DispatchEvent const& event) {
+      for (DispatchEffect const& effect : machine.step(now, event)) {
+        if (SendAttempt const* const send = std::get_if<SendAttempt>(&effect)) {
           sent.push_back(*send);
         }
       }
     };
-    ServerRow stays;
+    ServerEndpoint stays;
     stays.address = "stays";
-    ServerRow leaves;
+    ServerEndpoint leaves;
     leaves.address = "leaves";
-    step(Servers{"a", {stays, leaves}});
-    step(Arrive{1, "t", {"a"}, 1, 1, true, now + Ms(500)});
-    step(Arrive{2, "t", {"a"}, 1, 1, true, now + Ms(500)});
+    step(ServersUpdated{"a", {stays, leaves}});
+    step(RequestArrived{1, "t", {"a"}, 1, 1, true, now + Ms(500)});
+    step(RequestArrived{2, "t", {"a"}, 1, 1, true, now + Ms(500)});
     ASSERT_EQ(sent.size(), 2u);
     std::uint64_t const atLeaving = sent[0].server == "leaves" ? sent[0].attempt : sent[1].attempt;
-    leaves.leaving = true;
-    std::vector<Event> const events{Servers{"a", {stays, leaves}}, Arrive{3, "t", {"a"}, 1, 1, true, now + Ms(500)},
-                                    Returned{atLeaving, true, true, retry::Verdict::ran, {}}};
+    leaves.draining = true;
+    std::vector<DispatchEvent> const events{ServersUpdated{"a", {stays, leaves}},
+                                            RequestArrived{3, "t", {"a"}, 1, 1, true, now + Ms(500)},
+                                            AttemptFinished{atLeaving, true, true, retry::Verdict::ran, {}}};
     std::vector<std::size_t> places{0, 1, 2};
     for (int turn = 0; turn < order; ++turn) {
       std::next_permutation(places.begin(), places.end());
--- a/tests/foreign_test.cpp
+++ b/tests/foreign_test.cpp
@@ -35,11 +35,11 @@
   bool const notRun = findHeader(answer.headers, "x-unrun").has_value();
   bool const success = answer.status == 200;
   out.returned.verdict = notRun ? Verdict::notRun : Verdict::ran;
-  out.returned.full = notRun;
+  out.returned.overCapacity = notRun;
   out.returned.good = !notRun && (success || !asked.part);
   out.returned.healthy = !notRun && success;
   if (asked.part && out.returned.good) {
-    out.part = dispatch::Part{{asked.service, asked.cut, asked.request}, {answer.body}, "seal-" + asked.service};
+    out.part = dispatch::ShardResult{{asked.service, asked.cut, asked.request}, {answer.body}, "seal-" + asked.service};
   }
   return out;
 }
@@ -47,7 +47,7 @@
 net::Answer writeGathered(Gathered const& gathered) {
   net::Answer out;
   std::string seals;
-  for (dispatch::PartPtr const& part : gathered.parts) {
+  for (dispatch::ShardResultPtr const& part : gathered.parts) {
     seals += (seals.empty() ? "" : " ") + part->seal;
   }
   out.headers = {
@@ -78,7 +78,7 @@
     }
     request.headers.emplace_back("x-left", std::to_string(asked.remainingMs.count()));
     request.headers.emplace_back("x-service", asked.service);
-    request.headers.emplace_back("x-life", asked.life);
+    request.headers.emplace_back("x-life", asked.incarnation);
     request.headers.emplace_back("x-version", asked.version);
   };
   out.readAnswer = readAnswer;
@@ -93,20 +93,20 @@
   for (std::string const& service : services) {
     out.shards.push_back({service, ""});
   }
-  out.minimum_shards = minimum;
-  out.max_attempts = 3;
+  out.minimumShards = minimum;
+  out.maxAttempts = 3;
   out.deadlineMs = Ms(800);
   return out;
 }
 
-config::Route routeTo(std::string const& name, std::vector<config::Choice> const& choices, bool repeatable) {
+config::Route routeTo(std::string const& name, std::vector<config::Choice> const& choices, bool idempotent) {
   config::Route out;
   out.name = name;
   out.host = "file.example";
   out.prefix = "/" + name + "/";
   out.choices = choices;
-  out.max_attempts = 3;
-  out.repeatable = repeatable;
+  out.maxAttempts = 3;
+  out.idempotent = idempotent;
   out.deadlineMs = Ms(800);
   return out;
 }
@@ -126,16 +126,16 @@
 struct Node {
   explicit Node(std::string const& name = "m01",
                 config::Configuration const& first = configurationOver({"s0", "s1"}, 1))
-      : plane(Self{name, "127.0.0.1:7000", "z1", 5}, dispatch::Policy{}, foreign()) {
+      : plane(Self{name, "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}, foreign()) {
     enforce(2, first);
-    step(Placed{dispatch::Place{1, 0, 30, 0.2, "z1"}});
+    step(Placed{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
     for (std::string const service : {"s0", "s1", "s2", "r0", "r1", "w0", "w1", "none"}) {
-      dispatch::Servers servers{service, {}};
+      dispatch::ServersUpdated servers{service, {}};
       for (std::string const number : {"1", "2", "3", "4"}) {
-        dispatch::ServerRow row;
+        dispatch::ServerEndpoint row;
         row.address = "127.0.0.9:" + number;
         row.zone = "z1";
-        row.life = "life-" + number;
+        row.incarnation = "life-" + number;
         servers.rows.push_back(row);
       }
       step(Tables{servers});
@@ -166,7 +166,7 @@
       } else if (CancelOut const* const cancel = std::get_if<CancelOut>(&effect)) {
         cancelled.insert(cancel->attempt);
       } else if (Merge const* const merge = std::get_if<Merge>(&effect)) {
-        step(Merged{merge->request, dispatch::mergeParts(merge->parts, merge->result_size)});
+        step(Merged{merge->request, dispatch::mergeShardResults(merge->parts, merge->resultSize)});
       }
     }
   }
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,7 +1,7 @@
 #include "limeramp/config/configuration.h"
 #include "limeramp/config/settings.h"
 #include "limeramp/discovery/list.h"
-#include "limeramp/dispatch/part.h"
+#include "limeramp/dispatch/shard_result.h"
 #include "limeramp/net/http.h"
 #include "limeramp/replication/replication_group.h"
 #include "limeramp/storage/record_store.h"
@@ -121,9 +121,9 @@
     }
     ++taken;
     for (config::Search const& search : checked.configuration->searches) {
-      EXPECT_GE(search.minimum_shards, 1u);
-      EXPECT_LE(search.minimum_shards, search.shards.size());
-      EXPECT_GE(search.max_attempts, 1u);
+      EXPECT_GE(search.minimumShards, 1u);
+      EXPECT_LE(search.minimumShards, search.shards.size());
+      EXPECT_GE(search.maxAttempts, 1u);
       for (config::Shard const& shard : search.shards) {
         EXPECT_TRUE(checked.configuration->services.contains(shard.service));
       }
@@ -179,12 +179,12 @@
 
 TEST(Fuzz, APartIsTakenOnlyWithItsStampSortedAndBounded) {
   Random random(4);
-  dispatch::Stamp const stamp{"a", "c1", "r1"};
+  dispatch::ShardStamp const stamp{"a", "c1", "r1"};
   std::string const right = R"({"stamp":{"shard":"a","cut":"c1","request":"r1"},"records":["b","c","a","c","zz"]})";
   std::size_t taken = 0;
   for (int round = 0; round < 30'000; ++round) {
     std::string const body = bytesSpoilt(random, right);
-    absl::StatusOr<dispatch::Part> const part = dispatch::readPart(body, stamp, 3);
+    absl::StatusOr<dispatch::ShardResult> const part = dispatch::parseShardResult(body, stamp, 3);
     if (part.ok()) {
       ++taken;
       EXPECT_EQ(part->stamp, stamp);
@@ -215,9 +215,9 @@
       continue;
     }
     std::size_t rows = 0;
-    for (std::pair<std::string const, std::vector<dispatch::ServerRow>> const& service : list->services) {
+    for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& service : list->services) {
       EXPECT_FALSE(service.first.empty());
-      for (dispatch::ServerRow const& row : service.second) {
+      for (dispatch::ServerEndpoint const& row : service.second) {
         ++rows;
         EXPECT_TRUE(net::Address::parse(row.address).has_value()) << row.address;
         EXPECT_GT(row.capacity, 0);
--- a/tests/http_adversary_test.cpp
+++ b/tests/http_adversary_test.cpp
@@ -503,7 +503,7 @@
       : random_(seed), prefix_(std::move(prefix)), server_(server) {}
 
   void connectOnce() {
-    Leaving const leaving = static_cast<Leaving>(random_() % leavings);
+    Leaving const draining = static_cast<Leaving>(random_() % leavings);
     std::size_t const count = 1 + random_() % 4;
     std::vector<std::string> ids;
     std::string bytes;
@@ -515,21 +515,21 @@
       ids.push_back(last());
     }
     std::string tail;
-    if (leaving == Leaving::cuts || leaving == Leaving::resets) {
+    if (draining == Leaving::cuts || draining == Leaving::resets) {
       std::string const whole = draw(Handling::atOnce);
       tail = whole.substr(0, ++cutAt_ % whole.size());
       cut_.insert(last());
-    } else if (leaving == Leaving::surplus) {
+    } else if (draining == Leaving::surplus) {
       tail = "surplus bytes\r\n\r\n";
     }
     RawSocket socket = RawSocket::to(server_);
     sendInPieces(socket, bytes + tail);
-    if (leaving == Leaving::resets) {
+    if (draining == Leaving::resets) {
       socket.reset();
       maybe_.insert(ids.begin(), ids.end());
       return;
     }
-    if (leaving != Leaving::surplus) {
+    if (draining != Leaving::surplus) {
       socket.halfClose();
     }
     readAnswers(socket, ids, dropped);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/dispatch/part.h"
+#include "limeramp/dispatch/shard_result.h"
 #include "limeramp/net/http.h"
 #include "limeramp/net/ring.h"
 
@@ -197,18 +197,19 @@
   EXPECT_TRUE(full.tryPush(3));
 }
 
-TEST(Mill, ReadsAndMergesOnItsWorkers) {
+TEST(MergeWorkers, ReadsAndMergesOnItsWorkers) {
   std::latch left(200);
   std::atomic<int> good{0};
   {
-    dispatch::Mill mill(2);
+    dispatch::MergeWorkers mill(2);
     for (int number = 0; number < 200; ++number) {
       std::string const id = "r" + std::to_string(number);
       std::string const body = R"({"stamp":{"shard":"a","cut":"c","request":")" + id + R"("},"records":["x","y"]})";
-      mill.read(body, {"a", "c", number % 2 == 0 ? id : "other"}, 1, [&](absl::StatusOr<dispatch::Part> const& part) {
-        good += part.ok() ? 1 : 0;
-        left.count_down();
-      });
+      mill.read(body, {"a", "c", number % 2 == 0 ? id : "other"}, 1,
+                [&](absl::StatusOr<dispatch::ShardResult> const& part) {
+                  good += part.ok() ? 1 : 0;
+                  left.count_down();
+                });
     }
     left.wait();
   }
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -497,28 +497,28 @@
     fleet.startAll();
     ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(2000));
-    std::size_t const leaving = *fleet.primary();
+    std::size_t const draining = *fleet.primary();
     std::vector<std::uint64_t> tickets;
     std::function<void(control::Change)> const submit = [&](control::Change order) {
       order.ticket = fleet.nextTicket();
       order.deadline = fleet.network.now() + callMs;
       tickets.push_back(order.ticket);
-      fleet.submit(leaving, order);
+      fleet.submit(draining, order);
     };
     for (char const* const name : {"a", "b", "c"}) {
       submit(orderOn(4, 7, name));
     }
-    fleet.beginShutdown(leaving);
+    fleet.beginShutdown(draining);
     submit(orderOn(4, 7, "d"));
     for (std::size_t index = 1; index < tickets.size(); ++index) {
       ASSERT_TRUE(fleet.answers.contains(tickets[index])) << seed << " " << index;
       EXPECT_EQ(fleet.answers.at(tickets[index]).decided.verdict, control::OrderStatus::notRun) << seed << " " << index;
     }
     TimePoint const began = fleet.network.now();
-    std::size_t const next = (leaving + 1) % controllers;
-    EXPECT_EQ(insistElsewhere(fleet, operators, leaving, zoneOrder("z1", true)), Reply::taken) << seed;
+    std::size_t const next = (draining + 1) % controllers;
+    EXPECT_EQ(insistElsewhere(fleet, operators, draining, zoneOrder("z1", true)), Reply::taken) << seed;
     EXPECT_LT(fleet.network.now() - began, Ms(3000)) << seed;
-    EXPECT_TRUE(fleet.primary() != std::optional<std::size_t>(leaving)) << seed << next;
+    EXPECT_TRUE(fleet.primary() != std::optional<std::size_t>(draining)) << seed << next;
     EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
   }
 }
@@ -530,12 +530,12 @@
     fleet.startAll();
     ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(2000));
-    std::size_t const leaving = *fleet.primary();
-    std::uint64_t const before = fleet.machines[leaving].controller->group->state().sequence;
-    fleet.submitToGroup(leaving, replication::BeginShutdown{});
-    std::size_t const call = operators.call({leaving, orderOn(4, 7, "late")}, callMs);
+    std::size_t const draining = *fleet.primary();
+    std::uint64_t const before = fleet.machines[draining].controller->group->state().sequence;
+    fleet.submitToGroup(draining, replication::BeginShutdown{});
+    std::size_t const call = operators.call({draining, orderOn(4, 7, "late")}, callMs);
     fleet.run(Ms(5));
-    EXPECT_EQ(fleet.machines[leaving].controller->group->state().sequence, before) << seed;
+    EXPECT_EQ(fleet.machines[draining].controller->group->state().sequence, before) << seed;
     EXPECT_NE(operators.await(call), Reply::taken) << seed;
   }
 }
--- a/tests/own_dialect_test.cpp
+++ b/tests/own_dialect_test.cpp
@@ -15,9 +15,9 @@
 TEST(OwnDialect, AServerInAnotherLifeDidNotRunTheRequest) {
   gateway::Asked asked;
   asked.request = "a";
-  asked.life = "i-1";
+  asked.incarnation = "i-1";
   gateway::Heard const heard = gateway::ownDialect().readAnswer({421, {{"limeramp-verdict", "not_run"}}, ""}, asked);
-  EXPECT_TRUE(heard.returned.otherLife);
+  EXPECT_TRUE(heard.returned.staleIncarnation);
   EXPECT_FALSE(heard.returned.good);
   EXPECT_EQ(heard.returned.verdict, Verdict::notRun);
 }
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -341,9 +341,9 @@
           startAll(group);
           expectAlive(group, "at first");
           group.run(Ms(8000));
-          std::size_t const leaving = membersByRole(group)[leaver];
+          std::size_t const draining = membersByRole(group)[leaver];
           group.offer();
-          took.push_back(leaveForGood(group, leaving));
+          took.push_back(leaveForGood(group, draining));
           std::vector<std::size_t> const now = membersByRole(group);
           ASSERT_LT(other, now.size());
           for (std::size_t lost = 0; lost < losses; ++lost) {
--- a/tests/request_plane_test.cpp
+++ b/tests/request_plane_test.cpp
@@ -27,7 +27,7 @@
 }
 
 struct GatewayServer {
-  Plane plane{Self{"m01", "127.0.0.1:7000", "z1", 5}, dispatch::Policy{}};
+  Plane plane{Self{"m01", "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}};
   TimePoint now{std::chrono::hours(1)};
   std::vector<SendOut> sent;
   std::vector<Reply> replies;
@@ -37,9 +37,9 @@
   GatewayServer() {
     step(InForce{snapshotOf(document, 2)});
     for (std::string const service : {"p0", "p1", "logs"}) {
-      dispatch::Servers servers{service, {}};
+      dispatch::ServersUpdated servers{service, {}};
       for (std::string const address : {"127.0.0.8:1", "127.0.0.9:1"}) {
-        dispatch::ServerRow row;
+        dispatch::ServerEndpoint row;
         row.address = address;
         servers.rows.push_back(row);
       }
@@ -56,9 +56,10 @@
       } else if (CancelOut const* const cancel = std::get_if<CancelOut>(&effect)) {
         cancelled.push_back(*cancel);
       } else if (Grind const* const grind = std::get_if<Grind>(&effect)) {
-        step(Ground{grind->attempt, dispatch::readPart(grind->body, grind->expected, grind->result_size), grind->load});
+        step(Ground{grind->attempt, dispatch::parseShardResult(grind->body, grind->expected, grind->resultSize),
+                    grind->load});
       } else if (Merge const* const merge = std::get_if<Merge>(&effect)) {
-        step(Merged{merge->request, dispatch::mergeParts(merge->parts, merge->result_size)});
+        step(Merged{merge->request, dispatch::mergeShardResults(merge->parts, merge->resultSize)});
       }
     }
   }
@@ -132,7 +133,7 @@
 
 TEST(Pinning, ARequestKeepsItsConfigurationAndRefusesPartsOfAnother) {
   GatewayServer front;
-  front.step(Placed{dispatch::Place{1, 0, 3}});
+  front.step(Placed{dispatch::FleetPosition{1, 0, 3}});
   for (std::size_t round = 0; round < 6; ++round) {
     front.arrive("/packages");
     front.part(front.sent[round * 2], "c1", "a");
--- a/tests/resend_adversary_test.cpp
+++ b/tests/resend_adversary_test.cpp
@@ -49,15 +49,15 @@
     out.reason = "another request's";
     return out;
   }
-  out.returned.otherLife = answer.status == 421;
-  bool const notRun = out.returned.otherLife || findHeader(answer.headers, "x-unrun").has_value();
+  out.returned.staleIncarnation = answer.status == 421;
+  bool const notRun = out.returned.staleIncarnation || findHeader(answer.headers, "x-unrun").has_value();
   bool const success = answer.status == 200;
   out.returned.verdict = notRun ? Verdict::notRun : Verdict::ran;
-  out.returned.full = notRun && !out.returned.otherLife;
+  out.returned.overCapacity = notRun && !out.returned.staleIncarnation;
   out.returned.good = !notRun && (success || !asked.part);
   out.returned.healthy = !notRun && success;
   if (asked.part && out.returned.good) {
-    out.part = dispatch::Part{{asked.service, asked.cut, asked.request}, {answer.body}, asked.service};
+    out.part = dispatch::ShardResult{{asked.service, asked.cut, asked.request}, {answer.body}, asked.service};
   }
   return out;
 }
@@ -84,7 +84,7 @@
     return net::Answer{500, {{"x-verdict", std::string(retry::nameOf(refusal.verdict))}}, refusal.reason};
   };
   out.writeAsk = [](net::Request& request, gateway::Asked const& asked) {
-    request.headers.emplace_back("x-life", asked.life);
+    request.headers.emplace_back("x-life", asked.incarnation);
     request.headers.emplace_back("x-service", asked.service);
     request.identity = {"x-id", "x-id", true};
   };
@@ -99,18 +99,18 @@
   search.host = "h";
   search.prefix = "/find/";
   search.shards = {{"s0", ""}, {"s1", ""}};
-  search.minimum_shards = 1;
-  search.max_attempts = 3;
+  search.minimumShards = 1;
+  search.maxAttempts = 3;
   search.deadlineMs = requestWaitMs;
   out.searches.push_back(search);
-  for (bool const repeatable : {false, true}) {
+  for (bool const idempotent : {false, true}) {
     config::Route route;
-    route.name = repeatable ? "read" : "write";
+    route.name = idempotent ? "read" : "write";
     route.host = "h";
     route.prefix = "/" + route.name + "/";
     route.choices = {{"w0", 1}};
-    route.max_attempts = 3;
-    route.repeatable = repeatable;
+    route.maxAttempts = 3;
+    route.idempotent = idempotent;
     route.deadlineMs = requestWaitMs;
     out.routes.push_back(route);
   }
@@ -131,12 +131,12 @@
         goesAfter_(number == 0 ? 150 : SIZE_MAX),
         server_("x-id", [this](SeenRequest const& seen) { return react(seen); }) {}
 
-  dispatch::ServerRow row() const {
-    dispatch::ServerRow out;
+  dispatch::ServerEndpoint row() const {
+    dispatch::ServerEndpoint out;
     out.address = server_.address().text();
     out.zone = "z1";
     out.capacity = 1e6;
-    out.life = life_;
+    out.incarnation = life_;
     return out;
   }
 
@@ -223,8 +223,9 @@
 /// A gateway without its control side: callers' HttpServer, request plane, HttpClient, on one network.
 class Path {
  public:
-  explicit Path(std::vector<std::pair<std::string, dispatch::Servers>> const& tables)
-      : plane_(gateway::Self{"m01", "127.0.0.1:1", "z1", 5}, dispatch::Policy{}, dialect()), client_(network_, {}) {
+  explicit Path(std::vector<std::pair<std::string, dispatch::ServersUpdated>> const& tables)
+      : plane_(gateway::Self{"m01", "127.0.0.1:1", "z1", 5}, dispatch::DispatchOptions{}, dialect()),
+        client_(network_, {}) {
     std::string error;
     server_ = net::HttpServer::listen(
         network_, {"127.0.0.1", 0}, {},
@@ -240,8 +241,8 @@
       snapshot.version = {1, 2};
       snapshot.configuration = configuration();
       drive(gateway::InForce{std::make_shared<config::Snapshot const>(snapshot)});
-      drive(gateway::Placed{dispatch::Place{1, 0, 30, 0.2, "z1"}});
-      for (std::pair<std::string, dispatch::Servers> const& table : tables) {
+      drive(gateway::Placed{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
+      for (std::pair<std::string, dispatch::ServersUpdated> const& table : tables) {
         drive(gateway::Tables{table.second});
       }
       ready.set_value();
@@ -286,9 +287,9 @@
   void carry(gateway::CancelOut const& cancel) { client_.cancel(cancel.attempt); }
   void carry(gateway::Grind const&) {}
   void carry(gateway::Merge const& merge) {
-    drive(gateway::Merged{merge.request, dispatch::mergeParts(merge.parts, merge.result_size)});
+    drive(gateway::Merged{merge.request, dispatch::mergeShardResults(merge.parts, merge.resultSize)});
   }
-  void carry(dispatch::Note const&) {}
+  void carry(dispatch::LogEntry const&) {}
 
   net::Network network_;
   gateway::Plane plane_;
@@ -400,9 +401,9 @@
   constexpr std::size_t requests = 2000;
   for (unsigned seed = 1; seed <= 3; ++seed) {
     std::vector<std::unique_ptr<FaultyServer>> servers;
-    std::vector<std::pair<std::string, dispatch::Servers>> tables;
+    std::vector<std::pair<std::string, dispatch::ServersUpdated>> tables;
     for (std::string const service : {"s0", "s1", "w0"}) {
-      dispatch::Servers table{service, {}};
+      dispatch::ServersUpdated table{service, {}};
       for (std::size_t number = 0; number < serversOfAService; ++number) {
         servers.push_back(std::make_unique<FaultyServer>(service, number, seed));
         table.rows.push_back(servers.back()->row());
--- a/tests/worth_test.cpp
+++ b/tests/worth_test.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/dispatch/machine.h"
+#include "limeramp/dispatch/dispatcher.h"
 #include "simulator/simulated_network.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +44,7 @@
   std::string name;
   std::vector<std::string> services;
   double minimumShare = 1;
-  bool repeatable = true;
+  bool idempotent = true;
   double perSecond = 0;
   double workMs = 0;
   Ms aimMs{0};
@@ -70,7 +70,7 @@
 };
 
 struct Town {
-  Town(std::uint64_t seed, std::size_t zonesIn, std::size_t fronts, Policy const& policyIn)
+  Town(std::uint64_t seed, std::size_t zonesIn, std::size_t fronts, DispatchOptions const& policyIn)
       : network(seed), zones(zonesIn) {
     for (std::size_t front = 0; front < fronts; ++front) {
       machines.emplace_back(policyIn);
@@ -80,7 +80,7 @@
 
   SimulatedNetwork network;
   std::size_t zones;
-  std::vector<Machine> machines;
+  std::vector<Dispatcher> machines;
   std::vector<TimePoint> wakes;
   std::vector<Kind> kinds;
   std::map<std::string, Server> servers;
@@ -126,19 +126,19 @@
   }
 
   void tables() {
-    std::map<std::string, Servers> events;
+    std::map<std::string, ServersUpdated> events;
     for (std::pair<std::string const, Server> const& entry : servers) {
-      Servers& event = events[entry.second.service];
+      ServersUpdated& event = events[entry.second.service];
       event.service = entry.second.service;
-      ServerRow row;
+      ServerEndpoint row;
       row.address = entry.first;
       row.zone = entry.second.zone;
       row.capacity = static_cast<double>(entry.second.slots);
-      row.coldMs = std::max(Ms(0), std::chrono::duration_cast<Ms>(entry.second.coldUntil - network.now()));
+      row.warmupMs = std::max(Ms(0), std::chrono::duration_cast<Ms>(entry.second.coldUntil - network.now()));
       event.rows.push_back(row);
     }
     for (std::size_t front = 0; front < machines.size(); ++front) {
-      for (std::pair<std::string const, Servers> const& event : events) {
+      for (std::pair<std::string const, ServersUpdated> const& event : events) {
         step(front, event.second);
       }
     }
@@ -146,7 +146,7 @@
 
   void start() {
     for (std::size_t front = 0; front < machines.size(); ++front) {
-      step(front, Place{machines.size(), front, 3, 0.2, zoneOf(front)});
+      step(front, FleetPosition{machines.size(), front, 3, 0.2, zoneOf(front)});
     }
     tables();
   }
@@ -158,13 +158,13 @@
     network.after(Ms(500), [this] { tables(); });
   }
 
-  void step(std::size_t front, Event const& event) {
-    for (Effect const& effect : machines[front].step(network.now(), event)) {
-      if (Send const* const send = std::get_if<Send>(&effect)) {
+  void step(std::size_t front, DispatchEvent const& event) {
+    for (DispatchEffect const& effect : machines[front].step(network.now(), event)) {
+      if (SendAttempt const* const send = std::get_if<SendAttempt>(&effect)) {
         carry(front, *send);
-      } else if (Cancel const* const cancel = std::get_if<Cancel>(&effect)) {
+      } else if (CancelAttempt const* const cancel = std::get_if<CancelAttempt>(&effect)) {
         drop(front, cancel->attempt);
-      } else if (Finish const* const finish = std::get_if<Finish>(&effect)) {
+      } else if (FinishRequest const* const finish = std::get_if<FinishRequest>(&effect)) {
         finished(front, *finish);
       }
     }
@@ -181,15 +181,15 @@
     }
   }
 
-  void carry(std::size_t front, Send const& send) {
+  void carry(std::size_t front, SendAttempt const& send) {
     Server& server = servers.at(send.server);
     Kind const& kind = kinds[open.at({front, send.request}).kind];
-    bool const first = seen.emplace(front, send.request, send.leg).second;
+    bool const first = seen.emplace(front, send.request, send.shard).second;
     arrivals[server.service].emplace_back(network.now(), first);
     server.arrivals.push_back(network.now());
     ++attempts;
     remote += server.zone != zoneOf(front) ? 1 : 0;
-    if (!kind.repeatable && !ran.emplace(front, send.request).second) {
+    if (!kind.idempotent && !ran.emplace(front, send.request).second) {
       ++ranTwice;
     }
     placed[{front, send.attempt}] = send.server;
@@ -200,14 +200,14 @@
     network.after(wireUs(front, server), [this, address, job, request] { take(address, job, request); });
   }
 
-  void reply(std::string const& address, std::size_t front, Returned event) {
+  void reply(std::string const& address, std::size_t front, AttemptFinished event) {
     Server const& server = servers[address];
     if (server.dark) {
       return;
     }
     event.load = static_cast<double>(server.queue.size() + server.running.size()) / static_cast<double>(server.slots);
     if (network.now() < server.coldUntil) {
-      event.coldMs = std::chrono::duration_cast<Ms>(server.coldUntil - network.now());
+      event.warmupMs = std::chrono::duration_cast<Ms>(server.coldUntil - network.now());
     }
     network.after(wireUs(front, server), [this, front, event] {
       placed.erase({front, event.attempt});
@@ -222,7 +222,8 @@
     }
     if (server.running.size() + server.queue.size() >= server.slots * 4) {
       ran.erase({job.front, request});
-      reply(address, job.front, Returned{job.attempt, false, false, retry::Verdict::notRun, {}, false, true, {}});
+      reply(address, job.front,
+            AttemptFinished{job.attempt, false, false, retry::Verdict::notRun, {}, false, true, {}});
       return;
     }
     server.queue.push_back(job);
@@ -259,7 +260,7 @@
     bool const bad = network.chance(server.badShare);
     if (placed.contains({job.front, job.attempt})) {
       reply(address, job.front,
-            Returned{
+            AttemptFinished{
                 job.attempt, !bad, !bad, bad ? retry::Verdict::mayHaveRun : retry::Verdict::ran, {}, false, false, {}});
     }
     work(address);
@@ -279,10 +280,10 @@
     });
   }
 
-  void finished(std::size_t front, Finish const& finish) {
+  void finished(std::size_t front, FinishRequest const& finish) {
     std::map<std::pair<std::size_t, std::uint64_t>, Asked>::iterator const at = open.find({front, finish.request});
     Kind const& kind = kinds[at->second.kind];
-    bool const good = finish.ending == Ending::complete || finish.ending == Ending::partial;
+    bool const good = finish.outcome == RequestOutcome::complete || finish.outcome == RequestOutcome::partial;
     double const whole = static_cast<double>(kind.services.size());
     double const share = (whole - static_cast<double>(finish.missing.size())) / whole;
     bool const inTime = network.now() - at->second.at <= kind.aimMs;
@@ -295,7 +296,7 @@
       ++tally->requests;
       tally->inTime += good && inTime ? 1 : 0;
       tally->late += good && !inTime ? 1 : 0;
-      tally->refused += finish.ending == Ending::refused ? 1 : 0;
+      tally->refused += finish.outcome == RequestOutcome::refused ? 1 : 0;
     }
     open.erase(at);
   }
@@ -321,9 +322,9 @@
       open[{front, request}] = {kind, network.now()};
       std::size_t const minimum =
           static_cast<std::size_t>(std::ceil(asked.minimumShare * static_cast<double>(asked.services.size()) - 1e-9));
-      step(front,
-           Arrive{request, "t", asked.services, std::max<std::size_t>(1, minimum), asked.maxAttempts, asked.repeatable,
-                  network.now() + asked.deadlineMs, network.now() + asked.aimMs, asked.priority, kind});
+      step(front, RequestArrived{request, "t", asked.services, std::max<std::size_t>(1, minimum), asked.maxAttempts,
+                                 asked.idempotent, network.now() + asked.deadlineMs, network.now() + asked.aimMs,
+                                 asked.priority, kind});
     }
   }
 
@@ -393,10 +394,10 @@
   double worstSecond = 1;
 };
 
-Outcome play(std::string const& trouble, bool dear, Policy const& policy, std::uint64_t seeds) {
+Outcome play(std::string const& trouble, bool dear, DispatchOptions const& options, std::uint64_t seeds) {
   Outcome outcome;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    Town town(seed * 7919, dear ? 3 : 4, dear ? 10 : 11, policy);
+    Town town(seed * 7919, dear ? 3 : 4, dear ? 10 : 11, options);
     furnish(town, dear, Ms(40 + static_cast<long>(town.network.roll(150))));
     town.start();
     town.load(Ms(4000));
@@ -464,7 +465,7 @@
                                             {"overload", 0.9}};
   for (bool const dear : {false, true}) {
     for (std::pair<std::string const, double> const& row : least) {
-      Outcome const outcome = play(row.first, dear, Policy{}, seeds);
+      Outcome const outcome = play(row.first, dear, DispatchOptions{}, seeds);
       std::printf(
           "%s %-16s seeds 1 to %llu: worth %.4f, least %.4f, worst second %.3f, late %zu, remote %.3f, extras above a "
           "fifth %.1f\n",
--- a/testside/capacity/cost_benchmark.cpp
+++ b/testside/capacity/cost_benchmark.cpp
@@ -112,17 +112,17 @@
   for (std::size_t index = 0; index < parts; ++index) {
     bodies.push_back(partBody("p" + std::to_string(index), "r", 10));
   }
-  std::vector<dispatch::PartPtr> read;
+  std::vector<dispatch::ShardResultPtr> read;
   double const from = threadUs();
   for (std::size_t index = 0; index < parts; ++index) {
-    absl::StatusOr<dispatch::Part> part =
-        dispatch::readPart(bodies[index], {"p" + std::to_string(index), "c1", "r"}, 10);
-    read.push_back(std::make_shared<dispatch::Part const>(*std::move(part)));
+    absl::StatusOr<dispatch::ShardResult> part =
+        dispatch::parseShardResult(bodies[index], {"p" + std::to_string(index), "c1", "r"}, 10);
+    read.push_back(std::make_shared<dispatch::ShardResult const>(*std::move(part)));
   }
   double const between = threadUs();
   std::size_t kept = 0;
   for (int round = 0; round < 5; ++round) {
-    kept += dispatch::mergeParts(read, 10).size();
+    kept += dispatch::mergeShardResults(read, 10).size();
   }
   double const to = threadUs();
   double const count = static_cast<double>(parts);
@@ -149,7 +149,7 @@
 
 void measureQueries(std::size_t shards, std::size_t inFlight, std::size_t rounds) {
   using namespace gateway;
-  Plane plane(Self{"m1", "10.0.0.1:7000", "z1", 5}, dispatch::Policy{});
+  Plane plane(Self{"m1", "10.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{});
   retry::TimePoint now{std::chrono::hours(1)};
   std::deque<SendOut> sent;
   std::deque<Grind> grinds;
@@ -175,9 +175,9 @@
   step(InForce{snapshotOf(shards)});
   double const heapBefore = heapBytes();
   for (std::size_t index = 0; index < shards; ++index) {
-    dispatch::Servers servers{"p" + std::to_string(index), {}};
+    dispatch::ServersUpdated servers{"p" + std::to_string(index), {}};
     for (std::size_t number = 0; number < 5; ++number) {
-      dispatch::ServerRow row;
+      dispatch::ServerEndpoint row;
       row.address = "10." + std::to_string(index / 200) + "." + std::to_string(index % 200) + "." +
                     std::to_string(number) + ":9000";
       row.zone = "z1";
@@ -217,7 +217,8 @@
       while (!grinds.empty()) {
         Grind const grind = std::move(grinds.front());
         grinds.pop_front();
-        step(Ground{grind.attempt, dispatch::readPart(grind.body, grind.expected, grind.result_size), grind.load});
+        step(Ground{grind.attempt, dispatch::parseShardResult(grind.body, grind.expected, grind.resultSize),
+                    grind.load});
       }
       answerUs += spentUs;
       ++exchanges;
@@ -233,7 +234,7 @@
     while (!merges.empty()) {
       Merge const merge = std::move(merges.front());
       merges.pop_front();
-      step(Merged{merge.request, dispatch::mergeParts(merge.parts, merge.result_size)});
+      step(Merged{merge.request, dispatch::mergeShardResults(merge.parts, merge.resultSize)});
     }
     answerUs += spentUs;
   }
@@ -248,39 +249,39 @@
 // Servers of 5.6 to 10.4 ms, one answer in a thousand 100 ms late; one front, 200 queries a second, all answers wanted.
 void measureTail(std::size_t shards, double depth, std::uint64_t seed) {
   simulator::SimulatedNetwork network(seed);
-  dispatch::Machine machine(dispatch::Policy{});
+  dispatch::Dispatcher machine(dispatch::DispatchOptions{});
   std::vector<std::string> names;
   std::map<std::uint64_t, retry::TimePoint> arrivedAt;
   Values tookMs;
   std::size_t answered = 0;
   std::size_t complete = 0;
   std::size_t missing = 0;
-  std::function<void(dispatch::Event const&)> step = [&](dispatch::Event const& event) {
-    for (dispatch::Effect const& effect : machine.step(network.now(), event)) {
-      if (dispatch::Send const* const send = std::get_if<dispatch::Send>(&effect)) {
+  std::function<void(dispatch::DispatchEvent const&)> step = [&](dispatch::DispatchEvent const& event) {
+    for (dispatch::DispatchEffect const& effect : machine.step(network.now(), event)) {
+      if (dispatch::SendAttempt const* const send = std::get_if<dispatch::SendAttempt>(&effect)) {
         std::chrono::microseconds const wait(5'600 + network.roll(4'800) + (network.roll(1000) == 0 ? 100'000 : 0));
         std::uint64_t const attempt = send->attempt;
         network.after(wait, [&step, attempt] {
-          step(dispatch::Returned{attempt, true, true, retry::Verdict::ran, {}});
+          step(dispatch::AttemptFinished{attempt, true, true, retry::Verdict::ran, {}});
         });
-      } else if (dispatch::Finish const* const finish = std::get_if<dispatch::Finish>(&effect)) {
+      } else if (dispatch::FinishRequest const* const finish = std::get_if<dispatch::FinishRequest>(&effect)) {
         std::map<std::uint64_t, retry::TimePoint>::iterator const found = arrivedAt.find(finish->request);
         if (found == arrivedAt.end()) {
           continue;
         }
         ++answered;
-        complete += finish->ending == dispatch::Ending::complete ? 1 : 0;
+        complete += finish->outcome == dispatch::RequestOutcome::complete ? 1 : 0;
         missing += finish->missing.size();
         tookMs.push_back(std::chrono::duration<double, std::milli>(network.now() - found->second).count());
       }
     }
   };
-  step(dispatch::Place{1300, 0, depth});
+  step(dispatch::FleetPosition{1300, 0, depth});
   for (std::size_t index = 0; index < shards; ++index) {
     names.push_back("p" + std::to_string(index));
-    dispatch::Servers servers{names.back(), {}};
+    dispatch::ServersUpdated servers{names.back(), {}};
     for (std::size_t number = 0; number < 5; ++number) {
-      dispatch::ServerRow row;
+      dispatch::ServerEndpoint row;
       row.address = names.back() + "-" + std::to_string(number);
       servers.rows.push_back(row);
     }
@@ -292,7 +293,7 @@
     if (request > warm) {
       arrivedAt[request] = network.now();
     }
-    step(dispatch::Arrive{request, "t", names, shards / 2, 2, true, network.now() + Ms(66)});
+    step(dispatch::RequestArrived{request, "t", names, shards / 2, 2, true, network.now() + Ms(66)});
     retry::TimePoint const next = network.now() + std::chrono::microseconds(1 + network.roll(10'000));
     while (network.now() < next) {
       network.runUntil(std::min(next, network.now() + Ms(4)));
@@ -311,7 +312,7 @@
   add("half of the queries answered within", at, "ms", tookMs[tookMs.size() / 2]);
   add("99 in 100 answered within", at, "ms", tookMs[tookMs.size() * 99 / 100]);
   add("extra attempts for a first one", at, "%",
-      100 * static_cast<double>(machine.counters().extras) / static_cast<double>(machine.counters().attempts));
+      100 * static_cast<double>(machine.counters().hedgedAttempts) / static_cast<double>(machine.counters().attempts));
 }
 
 struct Post {
--- a/testside/capacity/fleet.cpp
+++ b/testside/capacity/fleet.cpp
@@ -84,7 +84,7 @@
   std::optional<distribution::PeerViews> views;
   std::optional<SimulatedGateway> gateway;
   std::optional<SimulatedController> controller;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   bool up = false;
   bool hostLost = false;
   Load load;
@@ -127,12 +127,13 @@
   void start(std::size_t index);
   void stop(std::size_t index, bool host);
   void replace(std::size_t index);
-  void tick(std::size_t index, std::uint64_t life);
+  void tick(std::size_t index, std::uint64_t incarnation);
   void send(std::size_t from, std::string const& address, messages::Message message);
   void sendAll(std::size_t from, std::vector<distribution::Outgoing>& sends);
   Bytes encodeEnvelope(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost);
   std::shared_ptr<messages::PeerMessage const> decodeEnvelope(Bytes const& bytes, std::chrono::nanoseconds& kept);
-  void deliver(std::size_t to, std::size_t from, std::uint64_t life, Bytes const& bytes, std::string const& kind);
+  void deliver(std::size_t to, std::size_t from, std::uint64_t incarnation, Bytes const& bytes,
+               std::string const& kind);
   void onMessage(std::size_t to, messages::PeerMessage const& received);
   void follow(std::size_t index, distribution::ConfigDeliveryStep step) { sendAll(index, step.sends); }
   void follow(std::size_t index, discovery::DeskStep step);
@@ -160,7 +161,7 @@
     services.insert("p" + std::to_string(index));
   }
   for (std::size_t index = 0; index < shape.servers && shape.shards > 0; ++index) {
-    dispatch::ServerRow row;
+    dispatch::ServerEndpoint row;
     row.address = "10.200." + std::to_string(index / 200) + "." + std::to_string(index % 200 + 1) + ":9000";
     row.zone = "z" + std::to_string(index % shape.zones);
     list.services["p" + std::to_string(index % shape.shards)].push_back(row);
@@ -184,7 +185,7 @@
   Member& member = members[index];
   member.up = true;
   member.hostLost = false;
-  ++member.life;
+  ++member.incarnation;
   std::uint64_t const boot = network.random()() >> 1 | 1;
   std::string const role = member.controller ? messages::controllerRole : messages::gatewayRole;
   member.views.emplace(distribution::PeerViewOptions{},
@@ -203,14 +204,14 @@
          replication::Start{
              {member.id, member.address, member.zone}, member.controller->disk, network.random()(), false, seeds});
   }
-  std::uint64_t const life = member.life;
-  network.after(Us(network.roll(20'000)), [this, index, life] { tick(index, life); });
+  std::uint64_t const incarnation = member.incarnation;
+  network.after(Us(network.roll(20'000)), [this, index, incarnation] { tick(index, incarnation); });
 }
 
 void Fleet::Impl::stop(std::size_t index, bool host) {
   members[index].up = false;
   members[index].hostLost = host;
-  ++members[index].life;
+  ++members[index].incarnation;
 }
 
 void Fleet::Impl::replace(std::size_t index) {
@@ -222,9 +223,9 @@
   start(index);
 }
 
-void Fleet::Impl::tick(std::size_t index, std::uint64_t life) {
+void Fleet::Impl::tick(std::size_t index, std::uint64_t incarnation) {
   Member& member = members[index];
-  if (!member.up || member.life != life) {
+  if (!member.up || member.incarnation != incarnation) {
     return;
   }
   {
@@ -262,7 +263,7 @@
       drivePlane(index, control::Tick{});
     }
   }
-  network.after(tickMs, [this, index, life] { tick(index, life); });
+  network.after(tickMs, [this, index, incarnation] { tick(index, incarnation); });
 }
 
 void Fleet::Impl::sendAll(std::size_t from, std::vector<distribution::Outgoing>& sends) {
@@ -341,14 +342,15 @@
   if (!members[to].up || isCut(from, to)) {
     return;
   }
-  std::uint64_t const life = members[to].life;
-  network.after(delay(from, to), [this, to, from, life, bytes, kind] { deliver(to, from, life, bytes, kind); });
+  std::uint64_t const incarnation = members[to].incarnation;
+  network.after(delay(from, to),
+                [this, to, from, incarnation, bytes, kind] { deliver(to, from, incarnation, bytes, kind); });
 }
 
-void Fleet::Impl::deliver(std::size_t to, std::size_t from, std::uint64_t life, Bytes const& bytes,
+void Fleet::Impl::deliver(std::size_t to, std::size_t from, std::uint64_t incarnation, Bytes const& bytes,
                           std::string const& kind) {
   Member& member = members[to];
-  if (!member.up || member.life != life) {
+  if (!member.up || member.incarnation != incarnation) {
     return;
   }
   ++member.load.received;
@@ -400,9 +402,9 @@
   sendAll(index, step.sends);
   if (step.readList) {
     ++members[index].load.listReads;
-    std::uint64_t const life = members[index].life;
-    network.after(Us(3'000 + network.roll(5'000)), [this, index, life] {
-      if (members[index].up && members[index].life == life) {
+    std::uint64_t const incarnation = members[index].incarnation;
+    network.after(Us(3'000 + network.roll(5'000)), [this, index, incarnation] {
+      if (members[index].up && members[index].incarnation == incarnation) {
         Meter const meter(members[index].load.busy);
         follow(index, members[index].gateway->desk->listed(network.now(), list));
       }
@@ -411,9 +413,9 @@
 }
 
 void Fleet::Impl::persist(std::size_t index, replication::Persist const& effect) {
-  std::uint64_t const life = members[index].life;
-  network.after(Us(500 + network.roll(3'000)), [this, index, life, effect] {
-    if (!members[index].up || members[index].life != life) {
+  std::uint64_t const incarnation = members[index].incarnation;
+  network.after(Us(500 + network.roll(3'000)), [this, index, incarnation, effect] {
+    if (!members[index].up || members[index].incarnation != incarnation) {
       return;
     }
     for (std::pair<std::string, std::string> const& put : effect.puts) {
@@ -466,20 +468,20 @@
   KindLoad& load = kinds["probe"];
   ++load.sent;
   std::unordered_map<std::string, std::size_t>::const_iterator const found = byAddress.find(wanted.address);
-  std::uint64_t const life = members[from].life;
+  std::uint64_t const incarnation = members[from].incarnation;
   std::uint64_t const token = wanted.token;
   std::string const node = wanted.node;
   if (found == byAddress.end()) {
     return;
   }
   std::size_t const to = found->second;
-  network.after(delay(from, to), [this, from, to, life, token, node] {
+  network.after(delay(from, to), [this, from, to, incarnation, token, node] {
     if (isCut(from, to) || members[to].hostLost) {
       return;
     }
     bool const gone = !members[to].up || members[to].id != node;
-    network.after(delay(to, from), [this, from, life, token, gone] {
-      if (members[from].up && members[from].life == life) {
+    network.after(delay(to, from), [this, from, incarnation, token, gone] {
+      if (members[from].up && members[from].incarnation == incarnation) {
         Meter const meter(members[from].load.busy);
         drivePlane(from, control::ProbeFinished{token, gone});
       }
@@ -713,10 +715,10 @@
   while (impl.network.now() - from < time) {
     maybe(rates.restartsPerSecond, counts.restarts, [&] {
       std::size_t const index = someNode();
-      std::uint64_t const life = impl.members[index].life;
+      std::uint64_t const incarnation = impl.members[index].incarnation;
       impl.members[index].gateway->delivery->leave();
-      impl.network.after(noticeMs, [&impl, index, life] {
-        if (impl.members[index].life == life) {
+      impl.network.after(noticeMs, [&impl, index, incarnation] {
+        if (impl.members[index].incarnation == incarnation) {
           impl.stop(index, false);
           impl.network.after(downMs, [&impl, index] { impl.start(index); });
         }
--- a/testside/load_generator.cpp
+++ b/testside/load_generator.cpp
@@ -28,7 +28,7 @@
   std::string path;
   std::string method = "GET";
   bool search = false;
-  std::size_t result_size = 0;
+  std::size_t resultSize = 0;
   std::size_t shards = 0;
   std::size_t minimum = 0;
   std::size_t records = 20;
@@ -99,7 +99,7 @@
     }
   }
   std::sort(expected.rbegin(), expected.rend());
-  expected.resize(std::min(expected.size(), call.result_size));
+  expected.resize(std::min(expected.size(), call.resultSize));
   std::vector<std::string> got;
   for (picojson::value const& record : body.get("records").get<picojson::array>()) {
     got.push_back(record.to_str());
@@ -251,7 +251,7 @@
       call.path = inner.text("path", std::nullopt);
       call.method = inner.text("method", "GET");
       call.search = inner.flag("search", false);
-      call.result_size = inner.whole("result_size", 10, 1, 10'000);
+      call.resultSize = inner.whole("result_size", 10, 1, 10'000);
       call.shards = inner.whole("shards", 4, 1, 64);
       call.minimum = inner.whole("minimum", 1, 1, 64);
       call.records = inner.whole("records", 20, 1, 10'000);
--- a/testside/simulator/fleet_simulation.cpp
+++ b/testside/simulator/fleet_simulation.cpp
@@ -346,9 +346,9 @@
     TimePoint const left = links.limited() ? links.send(network.now(), bytes) : network.now();
     std::uint64_t const life = machines[to].life;
     std::chrono::microseconds const wait(200 + network.roll(network.chance(0.01) ? 300'000 : 3'000));
-    std::chrono::microseconds const leaving =
+    std::chrono::microseconds const draining =
         std::chrono::duration_cast<std::chrono::microseconds>(left - network.now());
-    network.after(leaving + wait, [this, to, life, from, bytes, message] { arrive(to, life, from, bytes, message); });
+    network.after(draining + wait, [this, to, life, from, bytes, message] { arrive(to, life, from, bytes, message); });
   }
 }
 
