--- a/libs/config/include/limeramp/config/configuration.h
+++ b/libs/config/include/limeramp/config/configuration.h
@@ -33,7 +33,7 @@
 
 struct Shard {
   std::string service;
-  std::string cut;
+  std::string partition;
 };
 
 struct Search {
@@ -46,11 +46,11 @@
   std::size_t minimumShards = 1;
   std::size_t maxAttempts = 2;
   std::chrono::milliseconds deadlineMs{500};
-  std::chrono::milliseconds aimMs{0};
+  std::chrono::milliseconds latencyTargetMs{0};
   std::size_t priority = 0;
 };
 
-struct Choice {
+struct WeightedService {
   std::string service;
   double weight = 1;
 };
@@ -60,11 +60,11 @@
   std::string host;
   std::string tenant;
   std::string prefix;
-  std::vector<Choice> choices;
+  std::vector<WeightedService> choices;
   std::size_t maxAttempts = 1;
   bool idempotent = false;
   std::chrono::milliseconds deadlineMs{2000};
-  std::chrono::milliseconds aimMs{0};
+  std::chrono::milliseconds latencyTargetMs{0};
   std::size_t priority = 0;
 };
 
@@ -103,19 +103,19 @@
   std::string reason;
 };
 
-struct Checked {
+struct CheckedConfiguration {
   std::optional<Configuration> configuration;
   std::vector<Problem> problems;
 };
 
-Checked checkConfiguration(picojson::value const& document);
+CheckedConfiguration checkConfiguration(picojson::value const& document);
 
-struct Language {
-  std::function<Checked(std::string const& document)> check;
+struct ConfigSchema {
+  std::function<CheckedConfiguration(std::string const& document)> check;
   std::function<absl::StatusOr<std::string>(std::string const& document, std::string const& patch)> merge;
   bool verbatim = false;
 };
-Language ownLanguage();
+ConfigSchema nativeConfigSchema();
 
 struct Snapshot {
   Version version;
--- a/libs/config/include/limeramp/config/reader.h
+++ b/libs/config/include/limeramp/config/reader.h
@@ -12,19 +12,20 @@
 
   bool isObject() const;
   std::string text(std::string const& key, std::optional<std::string> const& fallback, std::size_t maxBytes = 256);
-  double number(std::string const& key, std::optional<double> fallback, double least, double most);
-  std::size_t whole(std::string const& key, std::optional<std::size_t> fallback, std::size_t least, std::size_t most);
+  double number(std::string const& key, std::optional<double> fallback, double minimum, double maximum);
+  std::size_t integer(std::string const& key, std::optional<std::size_t> fallback, std::size_t minimum,
+                      std::size_t maximum);
   std::chrono::milliseconds durationMs(std::string const& key, std::optional<std::chrono::milliseconds> fallback,
-                                       std::chrono::milliseconds least, std::chrono::milliseconds most);
+                                       std::chrono::milliseconds minimum, std::chrono::milliseconds maximum);
   bool flag(std::string const& key, bool fallback);
-  std::set<std::string> names(std::string const& key, std::size_t most);
-  std::vector<std::string> texts(std::string const& key, std::size_t most);
-  void eachField(std::string const& key, std::size_t most,
+  std::set<std::string> names(std::string const& key, std::size_t maximum);
+  std::vector<std::string> texts(std::string const& key, std::size_t maximum);
+  void eachField(std::string const& key, std::size_t maximum,
                  std::function<void(std::string const& name, Reader& inner)> const& visit);
-  void eachItem(std::string const& key, std::size_t least, std::size_t most,
+  void eachItem(std::string const& key, std::size_t minimum, std::size_t maximum,
                 std::function<void(Reader& inner)> const& visit);
   void inside(std::string const& key, std::function<void(Reader& inner)> const& visit);
-  std::vector<double> numbers(std::string const& key, std::size_t most);
+  std::vector<double> numbers(std::string const& key, std::size_t maximum);
   std::size_t entries(std::string const& key);
   void allowUnknown() { lenient_ = true; }
   void rejectUnknown();
--- a/libs/config/include/limeramp/config/settings.h
+++ b/libs/config/include/limeramp/config/settings.h
@@ -16,7 +16,7 @@
   std::string platform;
   std::string data;
   std::string logLevel = "info";
-  std::size_t hands = 2;
+  std::size_t workerThreads = 2;
   std::size_t maxConnections = 2000;
   std::size_t maxRequests = 4000;
   bool rerun = true;
--- a/libs/config/src/configuration.cpp
+++ b/libs/config/src/configuration.cpp
@@ -36,7 +36,7 @@
   }
   double total = 0;
   reader.eachItem("split", 0, 64, [&](Reader& inner) {
-    Choice choice{inner.text("service", std::nullopt), inner.number("weight", 1, 0, 1e6)};
+    WeightedService choice{inner.text("service", std::nullopt), inner.number("weight", 1, 0, 1e6)};
     checkService(inner, configuration, choice.service);
     total += choice.weight;
     route.choices.push_back(std::move(choice));
@@ -121,12 +121,12 @@
 
 std::string const& chooseService(Route const& route, std::string_view request) {
   double total = 0;
-  for (Choice const& choice : route.choices) {
+  for (WeightedService const& choice : route.choices) {
     total += choice.weight;
   }
   double const unit = static_cast<double>(XXH64(request.data(), request.size(), 0) >> 11) * 0x1.0p-53;
   double left = unit * total;
-  for (Choice const& choice : route.choices) {
+  for (WeightedService const& choice : route.choices) {
     if (left < choice.weight) {
       return choice.service;
     }
@@ -135,8 +135,8 @@
   return route.choices.back().service;
 }
 
-Checked checkConfiguration(picojson::value const& document) {
-  Checked out;
+CheckedConfiguration checkConfiguration(picojson::value const& document) {
+  CheckedConfiguration out;
   Configuration configuration;
   Reader root(document, "", out.problems);
   if (!root.isObject()) {
@@ -148,7 +148,7 @@
     service.capacity = reader.number("capacity", service.capacity, 0.1, 1e6);
     service.slowStartMs =
         reader.durationMs("slow_start_ms", service.slowStartMs, std::chrono::milliseconds(0), std::chrono::minutes(60));
-    service.maxConnections = reader.whole("max_connections", service.maxConnections, 0, 1'000'000);
+    service.maxConnections = reader.integer("max_connections", service.maxConnections, 0, 1'000'000);
     service.warmupPerSecond = reader.number("cold_per_second", service.warmupPerSecond, 0, 1e6);
     configuration.services.emplace(name, service);
   });
@@ -165,15 +165,16 @@
       }
       search.shards.push_back(std::move(shard));
     });
-    search.resultSize = reader.whole("result_size", std::nullopt, 1, 10'000);
-    search.minimumShards = reader.whole("minimum_shards", std::nullopt, 1, 64);
+    search.resultSize = reader.integer("result_size", std::nullopt, 1, 10'000);
+    search.minimumShards = reader.integer("minimum_shards", std::nullopt, 1, 64);
     if (search.minimumShards > search.shards.size()) {
       reader.complain("minimum_shards", "is above the number of shards");
     }
-    search.maxAttempts = reader.whole("max_attempts", search.maxAttempts, 1, 8);
+    search.maxAttempts = reader.integer("max_attempts", search.maxAttempts, 1, 8);
     search.deadlineMs = reader.durationMs("deadline_ms", search.deadlineMs, minDeadlineMs, maxDeadlineMs);
-    search.aimMs = reader.durationMs("aim_ms", search.aimMs, std::chrono::milliseconds(0), maxDeadlineMs);
-    search.priority = reader.whole("priority", search.priority, 0, 100);
+    search.latencyTargetMs =
+        reader.durationMs("aim_ms", search.latencyTargetMs, std::chrono::milliseconds(0), maxDeadlineMs);
+    search.priority = reader.integer("priority", search.priority, 0, 100);
     configuration.searches.push_back(std::move(search));
   });
   root.eachField("routes", 1000, [&](std::string const& name, Reader& reader) {
@@ -181,11 +182,12 @@
     route.name = name;
     readPlace(reader, places, route.host, route.tenant, route.prefix);
     readChoices(reader, configuration, route);
-    route.maxAttempts = reader.whole("max_attempts", route.maxAttempts, 1, 8);
+    route.maxAttempts = reader.integer("max_attempts", route.maxAttempts, 1, 8);
     route.idempotent = reader.flag("repeatable", false);
     route.deadlineMs = reader.durationMs("deadline_ms", route.deadlineMs, minDeadlineMs, maxDeadlineMs);
-    route.aimMs = reader.durationMs("aim_ms", route.aimMs, std::chrono::milliseconds(0), maxDeadlineMs);
-    route.priority = reader.whole("priority", route.priority, 0, 100);
+    route.latencyTargetMs =
+        reader.durationMs("aim_ms", route.latencyTargetMs, std::chrono::milliseconds(0), maxDeadlineMs);
+    route.priority = reader.integer("priority", route.priority, 0, 100);
     configuration.routes.push_back(std::move(route));
   });
   std::set<std::string> owned;
@@ -202,7 +204,7 @@
     configuration.cells.push_back(std::move(cell));
   });
   configuration.evacuatedZones = root.names("emptied_zones", 100);
-  configuration.revision = root.whole("revision", 0, 0, 1ULL << 53);
+  configuration.revision = root.integer("revision", 0, 0, 1ULL << 53);
   root.rejectUnknown();
   if (out.problems.empty()) {
     out.configuration = std::move(configuration);
@@ -210,12 +212,12 @@
   return out;
 }
 
-Language ownLanguage() {
-  Language out;
+ConfigSchema nativeConfigSchema() {
+  ConfigSchema out;
   out.check = [](std::string const& document) {
     absl::StatusOr<picojson::value> const parsed = parseJson(document);
     return parsed.ok() ? checkConfiguration(*parsed)
-                       : Checked{std::nullopt, {{"/", std::string(parsed.status().message())}}};
+                       : CheckedConfiguration{std::nullopt, {{"/", std::string(parsed.status().message())}}};
   };
   out.merge = [](std::string const& document, std::string const& patch) -> absl::StatusOr<std::string> {
     absl::StatusOr<picojson::value> const before = parseJson(document.empty() ? "{}" : document);
--- a/libs/config/src/reader.cpp
+++ b/libs/config/src/reader.cpp
@@ -55,41 +55,42 @@
   return value;
 }
 
-double Reader::number(std::string const& key, std::optional<double> fallback, double least, double most) {
+double Reader::number(std::string const& key, std::optional<double> fallback, double minimum, double maximum) {
   picojson::value const* const found = find(key, !fallback.has_value());
   if (found == nullptr) {
-    return fallback.value_or(least);
+    return fallback.value_or(minimum);
   }
   if (!found->is<double>()) {
     complain(key, "must be a number");
-    return least;
+    return minimum;
   }
   double const value = found->get<double>();
-  if (!(value >= least && value <= most)) {
-    complain(key, "must be from " + picojson::value(least).serialize() + " to " + picojson::value(most).serialize());
-    return least;
+  if (!(value >= minimum && value <= maximum)) {
+    complain(key,
+             "must be from " + picojson::value(minimum).serialize() + " to " + picojson::value(maximum).serialize());
+    return minimum;
   }
   return value;
 }
 
-std::size_t Reader::whole(std::string const& key, std::optional<std::size_t> fallback, std::size_t least,
-                          std::size_t most) {
+std::size_t Reader::integer(std::string const& key, std::optional<std::size_t> fallback, std::size_t minimum,
+                            std::size_t maximum) {
   std::optional<double> const fallbackNumber =
       fallback ? std::optional<double>(static_cast<double>(*fallback)) : std::nullopt;
-  double const value = number(key, fallbackNumber, static_cast<double>(least), static_cast<double>(most));
+  double const value = number(key, fallbackNumber, static_cast<double>(minimum), static_cast<double>(maximum));
   if (value != std::floor(value)) {
     complain(key, "must be a whole number");
-    return least;
+    return minimum;
   }
   return static_cast<std::size_t>(value);
 }
 
 std::chrono::milliseconds Reader::durationMs(std::string const& key, std::optional<std::chrono::milliseconds> fallback,
-                                             std::chrono::milliseconds least, std::chrono::milliseconds most) {
+                                             std::chrono::milliseconds minimum, std::chrono::milliseconds maximum) {
   std::optional<std::size_t> const fallbackCount =
       fallback ? std::optional<std::size_t>(static_cast<std::size_t>(fallback->count())) : std::nullopt;
-  return std::chrono::milliseconds(
-      whole(key, fallbackCount, static_cast<std::size_t>(least.count()), static_cast<std::size_t>(most.count())));
+  return std::chrono::milliseconds(integer(key, fallbackCount, static_cast<std::size_t>(minimum.count()),
+                                           static_cast<std::size_t>(maximum.count())));
 }
 
 bool Reader::flag(std::string const& key, bool fallback) {
@@ -104,14 +105,14 @@
   return found->get<bool>();
 }
 
-std::vector<std::string> Reader::texts(std::string const& key, std::size_t most) {
+std::vector<std::string> Reader::texts(std::string const& key, std::size_t maximum) {
   std::vector<std::string> out;
   picojson::value const* const found = find(key, false);
   if (found == nullptr) {
     return out;
   }
-  if (!found->is<picojson::array>() || found->get<picojson::array>().size() > most) {
-    complain(key, "must be an array of at most " + std::to_string(most) + " strings");
+  if (!found->is<picojson::array>() || found->get<picojson::array>().size() > maximum) {
+    complain(key, "must be an array of at most " + std::to_string(maximum) + " strings");
     return out;
   }
   std::size_t index = 0;
@@ -126,9 +127,9 @@
   return out;
 }
 
-std::set<std::string> Reader::names(std::string const& key, std::size_t most) {
+std::set<std::string> Reader::names(std::string const& key, std::size_t maximum) {
   std::set<std::string> out;
-  for (std::string const& name : texts(key, most)) {
+  for (std::string const& name : texts(key, maximum)) {
     if (!out.insert(name).second) {
       complain(key, "names '" + name + "' twice");
     }
@@ -136,14 +137,14 @@
   return out;
 }
 
-void Reader::eachField(std::string const& key, std::size_t most,
+void Reader::eachField(std::string const& key, std::size_t maximum,
                        std::function<void(std::string const& name, Reader& inner)> const& visit) {
   picojson::value const* const found = find(key, false);
   if (found == nullptr) {
     return;
   }
-  if (!found->is<picojson::object>() || found->get<picojson::object>().size() > most) {
-    complain(key, "must be an object of at most " + std::to_string(most) + " entries");
+  if (!found->is<picojson::object>() || found->get<picojson::object>().size() > maximum) {
+    complain(key, "must be an object of at most " + std::to_string(maximum) + " entries");
     return;
   }
   for (std::pair<std::string const, picojson::value> const& field : found->get<picojson::object>()) {
@@ -160,15 +161,15 @@
   }
 }
 
-void Reader::eachItem(std::string const& key, std::size_t least, std::size_t most,
+void Reader::eachItem(std::string const& key, std::size_t minimum, std::size_t maximum,
                       std::function<void(Reader& inner)> const& visit) {
-  picojson::value const* const found = find(key, least > 0);
+  picojson::value const* const found = find(key, minimum > 0);
   if (found == nullptr) {
     return;
   }
-  if (!found->is<picojson::array>() || found->get<picojson::array>().size() > most ||
-      found->get<picojson::array>().size() < least) {
-    complain(key, "must be an array of " + std::to_string(least) + " to " + std::to_string(most) + " items");
+  if (!found->is<picojson::array>() || found->get<picojson::array>().size() > maximum ||
+      found->get<picojson::array>().size() < minimum) {
+    complain(key, "must be an array of " + std::to_string(minimum) + " to " + std::to_string(maximum) + " items");
     return;
   }
   std::size_t index = 0;
@@ -195,14 +196,14 @@
   }
 }
 
-std::vector<double> Reader::numbers(std::string const& key, std::size_t most) {
+std::vector<double> Reader::numbers(std::string const& key, std::size_t maximum) {
   std::vector<double> out;
   picojson::value const* const found = find(key, false);
   if (found == nullptr) {
     return out;
   }
-  if (!found->is<picojson::array>() || found->get<picojson::array>().size() > most) {
-    complain(key, "must be an array of at most " + std::to_string(most) + " numbers");
+  if (!found->is<picojson::array>() || found->get<picojson::array>().size() > maximum) {
+    complain(key, "must be an array of at most " + std::to_string(maximum) + " numbers");
     return out;
   }
   for (picojson::value const& item : found->get<picojson::array>()) {
--- a/libs/config/src/settings.cpp
+++ b/libs/config/src/settings.cpp
@@ -46,9 +46,9 @@
   settings.platform = reader.text("platform", needs.platform ? std::nullopt : std::optional<std::string>(""));
   settings.data = reader.text("data", needs.data ? std::nullopt : std::optional<std::string>(""), 1024);
   settings.logLevel = reader.text("log_level", settings.logLevel);
-  settings.hands = reader.whole("hands", settings.hands, 1, 64);
-  settings.maxConnections = reader.whole("max_connections", settings.maxConnections, 1, 50'000);
-  settings.maxRequests = reader.whole("max_requests", settings.maxRequests, 1, 50'000);
+  settings.workerThreads = reader.integer("hands", settings.workerThreads, 1, 64);
+  settings.maxConnections = reader.integer("max_connections", settings.maxConnections, 1, 50'000);
+  settings.maxRequests = reader.integer("max_requests", settings.maxRequests, 1, 50'000);
   settings.rerun = reader.flag("rerun", settings.rerun);
   reader.rejectUnknown();
   for (std::pair<char const*, std::string const*> const& entry :
--- a/libs/config/src/settings_update.cpp
+++ b/libs/config/src/settings_update.cpp
@@ -37,7 +37,7 @@
   keep(update, readAnew, &Settings::zone, "zone");
   keep(update, readAnew, &Settings::data, "data");
   keep(update, readAnew, &Settings::logLevel, "log_level");
-  keep(update, readAnew, &Settings::hands, "hands");
+  keep(update, readAnew, &Settings::workerThreads, "hands");
   keep(update, readAnew, &Settings::maxRequests, "max_requests");
   keep(update, readAnew, &Settings::rerun, "rerun");
   keep(update, readAnew, &Settings::storeFileBytes, "store_file_bytes");
--- a/libs/control/include/limeramp/control/config_service.h
+++ b/libs/control/include/limeramp/control/config_service.h
@@ -123,7 +123,7 @@
 class ConfigService {
  public:
   ConfigService(ConfigServiceOptions const& options, std::string const& id,
-                config::Language language = config::ownLanguage());
+                config::ConfigSchema schema = config::nativeConfigSchema());
   ~ConfigService();
   ConfigService(ConfigService const&);
   ConfigService(ConfigService&&) noexcept;
--- a/libs/control/include/limeramp/control/control_server.h
+++ b/libs/control/include/limeramp/control/control_server.h
@@ -20,8 +20,8 @@
   /// Opens the disk folder, takes the addresses that the settings name, and begins. Without a folder it keeps nothing.
   /// @return nothing, with the reason in `error`, if the folder or an address cannot be used
   static std::unique_ptr<ControlServer> start(config::Settings const& settings, std::string& error,
-                                              OperatorProtocolAdapter const& dialect = {},
-                                              config::Language const& language = config::ownLanguage());
+                                              OperatorProtocolAdapter const& adapter = {},
+                                              config::ConfigSchema const& schema = config::nativeConfigSchema());
   ~ControlServer();
   ControlServer(ControlServer const&) = delete;
   ControlServer& operator=(ControlServer const&) = delete;
--- a/libs/control/include/limeramp/control/operator_protocol_adapter.h
+++ b/libs/control/include/limeramp/control/operator_protocol_adapter.h
@@ -14,7 +14,7 @@
 
 using OperatorHandler = std::function<void(net::Request, net::Responder)>;
 
-void serveOperator(OperatorProtocolAdapter const& dialect, net::Request asked, net::Responder respond,
+void serveOperator(OperatorProtocolAdapter const& adapter, net::Request asked, net::Responder respond,
                    OperatorHandler const& own);
 
 }  // namespace limeramp::control
--- a/libs/control/include/limeramp/control/order_evaluator.h
+++ b/libs/control/include/limeramp/control/order_evaluator.h
@@ -33,7 +33,7 @@
 
 class OrderEvaluator {
  public:
-  OrderEvaluator(ConfigServiceOptions const& options, config::Language language);
+  OrderEvaluator(ConfigServiceOptions const& options, config::ConfigSchema schema);
 
   /// `epoch` is the one under which the primary would write the next state.
   Evaluation evaluate(Change const& order, messages::State const& state, std::uint64_t epoch) const;
@@ -45,7 +45,7 @@
   std::variant<std::string, Rejection> documentOf(Change const& change, messages::State const& state) const;
 
   ConfigServiceOptions options_;
-  config::Language language_;
+  config::ConfigSchema schema_;
 };
 
 }  // namespace limeramp::control
--- a/libs/control/src/config_service.cpp
+++ b/libs/control/src/config_service.cpp
@@ -51,8 +51,8 @@
 }  // namespace
 
 struct ConfigService::Impl {
-  Impl(ConfigServiceOptions const& optionsIn, std::string const& idIn, config::Language language)
-      : options(optionsIn), id(idIn), evaluator(optionsIn, std::move(language)) {}
+  Impl(ConfigServiceOptions const& optionsIn, std::string const& idIn, config::ConfigSchema schema)
+      : options(optionsIn), id(idIn), evaluator(optionsIn, std::move(schema)) {}
 
   ConfigServiceOptions options;
   std::string id;
@@ -517,8 +517,8 @@
   }
 }
 
-ConfigService::ConfigService(ConfigServiceOptions const& options, std::string const& id, config::Language language)
-    : impl_(std::make_unique<Impl>(options, id, std::move(language))) {}
+ConfigService::ConfigService(ConfigServiceOptions const& options, std::string const& id, config::ConfigSchema schema)
+    : impl_(std::make_unique<Impl>(options, id, std::move(schema))) {}
 
 ConfigService::~ConfigService() = default;
 ConfigService::ConfigService(ConfigService const& other) : impl_(std::make_unique<Impl>(*other.impl_)) {}
--- a/libs/control/src/control_server.cpp
+++ b/libs/control/src/control_server.cpp
@@ -42,7 +42,7 @@
 
 std::string freshId(std::string const& node) {
   char start[20];
-  std::snprintf(start, sizeof start, "%08llx", static_cast<unsigned long long>(net::randomWord() & 0xffffffff));
+  std::snprintf(start, sizeof start, "%08llx", static_cast<unsigned long long>(net::randomUint64() & 0xffffffff));
   return node + "/" + start;
 }
 
@@ -66,12 +66,12 @@
 
 }  // namespace
 
-ControlServer::Impl::Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& dialectIn,
-                          config::Language const& languageIn, std::unique_ptr<storage::RecordStore> storeIn,
+ControlServer::Impl::Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& adapterIn,
+                          config::ConfigSchema const& schemaIn, std::unique_ptr<storage::RecordStore> storeIn,
                           Identity const& identity)
     : settings(settingsIn),
       settingsFollower(settingsIn),
-      dialect(dialectIn),
+      adapter(adapterIn),
       id(identity.id),
       mayFound(identity.mayFound),
       founders(identity.founders),
@@ -81,11 +81,11 @@
       inboundMessages(maxInboundMessages),
       diskJobs(maxDiskJobs),
       group(replication::optionsFor(settingsIn.machineLosses)),
-      service(ConfigServiceOptions{}, identity.id, languageIn),
+      service(ConfigServiceOptions{}, identity.id, schemaIn),
       views({},
             messages::Peer{identity.id, settingsIn.advertise, settingsIn.zone, messages::controllerRole,
-                           net::randomWord() >> 1, 0},
-            settingsIn.seeds, net::randomWord()),
+                           net::randomUint64() >> 1, 0},
+            settingsIn.seeds, net::randomUint64()),
       listeners(network),
       forwarder(client, settingsIn.advertise, 0,
                 [this](ForwardFinished back) { inboundMessages.push(std::move(back)); }),
@@ -100,7 +100,7 @@
     take(std::move(request), std::move(respond));
   };
   net::HttpServer::Handler const takeOperator = [this, own](net::Request request, net::Responder respond) {
-    serveOperator(dialect, std::move(request), std::move(respond), own);
+    serveOperator(adapter, std::move(request), std::move(respond), own);
   };
   return listeners.listen(Audience::peers, {settings.listen}, bounds, own, error) &&
          listeners.listen(Audience::operators, settings.operatorListens, bounds, takeOperator, error);
@@ -122,8 +122,8 @@
 ControlServer::ControlServer() = default;
 
 std::unique_ptr<ControlServer> ControlServer::start(config::Settings const& settings, std::string& error,
-                                                    OperatorProtocolAdapter const& dialect,
-                                                    config::Language const& language) {
+                                                    OperatorProtocolAdapter const& adapter,
+                                                    config::ConfigSchema const& schema) {
   std::unique_ptr<storage::RecordStore> store;
   absl::Status opened = settings.data.empty() ? absl::OkStatus() : openRecordStore(settings, store);
   Identity identity{freshId(settings.node), settings.mayFound, settings.seeds};
@@ -135,7 +135,7 @@
     return nullptr;
   }
   std::unique_ptr<ControlServer> controller(new ControlServer());
-  controller->impl_ = std::make_unique<Impl>(settings, dialect, language, std::move(store), identity);
+  controller->impl_ = std::make_unique<Impl>(settings, adapter, schema, std::move(store), identity);
   Impl& impl = *controller->impl_;
   if (!impl.listen(error)) {
     return nullptr;
--- a/libs/control/src/control_server_impl.h
+++ b/libs/control/src/control_server_impl.h
@@ -85,8 +85,8 @@
 /// The functions stand by job in event_loop.cpp, state_machines.cpp, operator_calls.cpp, force_new_group.cpp and
 /// status_pages.cpp.
 struct ControlServer::Impl {
-  Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& dialectIn, config::Language const& languageIn,
-       std::unique_ptr<storage::RecordStore> storeIn, Identity const& identity);
+  Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& adapterIn,
+       config::ConfigSchema const& schemaIn, std::unique_ptr<storage::RecordStore> storeIn, Identity const& identity);
 
   // Start and end: control_server.cpp.
   bool listen(std::string& error);
@@ -136,7 +136,7 @@
 
   config::Settings settings;
   node::SettingsFollower settingsFollower;
-  OperatorProtocolAdapter dialect;
+  OperatorProtocolAdapter adapter;
   std::string id;
   bool mayFound = false;
   std::vector<std::string> founders;
--- a/libs/control/src/event_loop.cpp
+++ b/libs/control/src/event_loop.cpp
@@ -18,7 +18,8 @@
 }  // namespace
 
 void ControlServer::Impl::runEventLoop() {
-  replication::Start start{{id, settings.advertise, settings.zone}, {}, net::randomWord(), store == nullptr, founders};
+  replication::Start start{
+      {id, settings.advertise, settings.zone}, {}, net::randomUint64(), store == nullptr, founders};
   if (store != nullptr) {
     start.stored = store->values();
   }
--- a/libs/control/src/dialect.cpp
+++ b/libs/control/src/operator_protocol_adapter.cpp
@@ -4,9 +4,9 @@
 
 namespace limeramp::control {
 
-void serveOperator(OperatorProtocolAdapter const& dialect, net::Request asked, net::Responder respond,
+void serveOperator(OperatorProtocolAdapter const& adapter, net::Request asked, net::Responder respond,
                    OperatorHandler const& own) {
-  std::optional<net::Request> request = dialect.toNative ? dialect.toNative(asked) : asked;
+  std::optional<net::Request> request = adapter.toNative ? adapter.toNative(asked) : asked;
   if (!request) {
     respond(plain(404, "{\"reason\":\"no such page\"}"));
     return;
@@ -14,8 +14,8 @@
   if (!net::findHeader(request->headers, deadlineHeader)) {
     request->headers.emplace_back(deadlineHeader, std::to_string(operatorWaitMs.count()));
   }
-  if (dialect.fromNative) {
-    respond = [translate = dialect.fromNative, asked = std::move(asked), to = std::move(respond)](net::Answer answer) {
+  if (adapter.fromNative) {
+    respond = [translate = adapter.fromNative, asked = std::move(asked), to = std::move(respond)](net::Answer answer) {
       to(translate(asked, std::move(answer)));
     };
   }
--- a/libs/control/src/order_evaluator.cpp
+++ b/libs/control/src/order_evaluator.cpp
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-OrderEvaluator::OrderEvaluator(ConfigServiceOptions const& options, config::Language language)
-    : options_(options), language_(std::move(language)) {}
+OrderEvaluator::OrderEvaluator(ConfigServiceOptions const& options, config::ConfigSchema schema)
+    : options_(options), schema_(std::move(schema)) {}
 
 Evaluation OrderEvaluator::evaluate(Change const& order, messages::State const& state, std::uint64_t epoch) const {
   return order.zone ? evaluateZone(*order.zone, state) : evaluateConfiguration(order, state, epoch);
@@ -100,7 +100,7 @@
   if (Rejection* const rejection = std::get_if<Rejection>(&document)) {
     return std::move(*rejection);
   }
-  config::Checked checked = language_.check(std::get<std::string>(document));
+  config::CheckedConfiguration checked = schema_.check(std::get<std::string>(document));
   if (!checked.configuration) {
     return Rejection{OrderStatus::refused, "", std::move(checked.problems)};
   }
@@ -122,16 +122,16 @@
   if (change.body.size() > options_.maxDocumentBytes) {
     return tooLong(options_.maxDocumentBytes);
   }
-  if (!change.patch && language_.verbatim) {
+  if (!change.patch && schema_.verbatim) {
     return change.body;
   }
   if (!change.patch) {
-    config::Checked checked = language_.check(change.body);
+    config::CheckedConfiguration checked = schema_.check(change.body);
     if (!checked.configuration) {
       return Rejection{OrderStatus::refused, "", std::move(checked.problems)};
     }
   }
-  absl::StatusOr<std::string> merged = language_.merge(change.patch ? state.document : "", change.body);
+  absl::StatusOr<std::string> merged = schema_.merge(change.patch ? state.document : "", change.body);
   if (!merged.ok()) {
     return refusal("/", std::string(merged.status().message()));
   }
--- a/libs/discovery/include/limeramp/discovery/server_directory.h
+++ b/libs/discovery/include/limeramp/discovery/server_directory.h
@@ -15,12 +15,12 @@
 
 using TimePoint = std::chrono::steady_clock::time_point;
 
-struct DeskPolicy {
+struct ServerDirectoryOptions {
   std::chrono::milliseconds pollMs{250};
   std::chrono::milliseconds replyMs{500};
   std::chrono::milliseconds suspectMs{3000};
-  std::chrono::milliseconds oldNewsMs{1000};
-  std::chrono::milliseconds youngMs{2000};
+  std::chrono::milliseconds staleAfterMs{1000};
+  std::chrono::milliseconds startupMs{2000};
   std::chrono::milliseconds listMs{400};
   std::chrono::milliseconds pageMs{100};
   std::chrono::milliseconds firstReadMs{200};
@@ -30,39 +30,40 @@
   std::chrono::milliseconds firstReaderMs{1000};
   std::chrono::milliseconds backOffMaxMs{2000};
   std::chrono::milliseconds stepInMs{200};
-  std::chrono::milliseconds coldRiseMs{500};
+  std::chrono::milliseconds warmupRiseMs{500};
   std::size_t maxPages = 64;
-  std::chrono::milliseconds emptyHeldMs{10'000};
+  std::chrono::milliseconds emptyListIgnoredMs{10'000};
   std::chrono::milliseconds followerMs{2000};
 };
 
-struct Around {
+struct ZoneView {
   std::vector<std::string> zoneAddresses;
   std::set<std::string> services;
 };
 
-struct DeskStep {
+struct DirectoryStep {
   std::vector<distribution::Outgoing> sends;
   std::vector<std::string> changed;
   bool readList = false;
   std::string page{};
-  bool emptyHeld = false;
+  bool emptyListIgnored = false;
 };
 
-class Desk {
+class ServerDirectory {
  public:
-  Desk(DeskPolicy const& options, std::string const& node, std::string const& address, std::string const& zone);
-  ~Desk();
-  Desk(Desk&&) noexcept;
-  Desk& operator=(Desk&&) noexcept;
+  ServerDirectory(ServerDirectoryOptions const& options, std::string const& node, std::string const& address,
+                  std::string const& zone);
+  ~ServerDirectory();
+  ServerDirectory(ServerDirectory&&) noexcept;
+  ServerDirectory& operator=(ServerDirectory&&) noexcept;
 
   /// Changes how often the platform's list is read, from the next reading on.
   void setListRate(std::chrono::milliseconds listMs, std::chrono::milliseconds pageMs);
 
-  DeskStep tick(TimePoint now, Around const& around);
-  DeskStep onMessage(TimePoint now, std::string const& address, messages::TableRequest const& message);
-  DeskStep onMessage(TimePoint now, std::string const& address, messages::TableResponse const& message);
-  DeskStep listed(TimePoint now, List const& list);
+  DirectoryStep tick(TimePoint now, ZoneView const& zoneView);
+  DirectoryStep onMessage(TimePoint now, std::string const& address, messages::TableRequest const& message);
+  DirectoryStep onMessage(TimePoint now, std::string const& address, messages::TableResponse const& message);
+  DirectoryStep onListPage(TimePoint now, List const& list);
   void listFailed();
   void listFailed(TimePoint now, bool overRate);
 
--- a/libs/discovery/src/server_directory.cpp
+++ b/libs/discovery/src/server_directory.cpp
@@ -9,39 +9,39 @@
 
 using Ms = std::chrono::milliseconds;
 
-constexpr std::size_t maxSheets = 2000;
+constexpr std::size_t maxServiceTables = 2000;
 
-struct Listener {
+struct Follower {
   std::string address;
   TimePoint at{};
   std::map<std::string, std::uint64_t> has;
 };
 
-struct Sheet {
+struct ServiceTable {
   std::vector<messages::TableRow> rows;
   std::uint64_t digest = 0;
   std::optional<TimePoint> asOf;
   TimePoint servedUntil{};
 };
 
-struct Seen {
+struct EndpointHistory {
   TimePoint firstAt{};
-  TimePoint coldUntil{};
-  std::uint64_t coldToldMs = 0;
+  TimePoint warmupUntil{};
+  std::uint64_t warmupReportedMs = 0;
 };
 
-using SeenKey = std::pair<std::string, std::string>;
+using EndpointKey = std::pair<std::string, std::string>;
 
-SeenKey seenKey(std::string const& service, messages::TableRow const& row) {
+EndpointKey endpointKey(std::string const& service, messages::TableRow const& row) {
   return {service, row.address + ' ' + row.incarnation};
 }
 
 std::uint64_t digestOf(std::string const& service, std::vector<messages::TableRow> const& rows,
-                       std::map<SeenKey, Seen> const& seen) {
+                       std::map<EndpointKey, EndpointHistory> const& endpointHistory) {
   std::uint64_t digest = XXH64("table", 5, 0);
   for (messages::TableRow row : rows) {
     row.ageMs = 0;
-    row.warmupMs = seen.at(seenKey(service, row)).coldToldMs;
+    row.warmupMs = endpointHistory.at(endpointKey(service, row)).warmupReportedMs;
     std::string const bytes = messages::pack(row);
     digest = XXH64(bytes.data(), bytes.size(), digest);
   }
@@ -50,14 +50,14 @@
 
 }  // namespace
 
-struct Desk::Impl {
-  DeskPolicy options;
+struct ServerDirectory::Impl {
+  ServerDirectoryOptions options;
   std::string node;
   std::string address;
   std::string zone;
-  std::map<std::string, Sheet> sheets;
-  std::map<SeenKey, Seen> seen;
-  std::map<std::string, Listener> listeners;
+  std::map<std::string, ServiceTable> serviceTables;
+  std::map<EndpointKey, EndpointHistory> endpointHistory;
+  std::map<std::string, Follower> followers;
   std::map<std::string, TimePoint> askedAt;
   std::map<std::string, TimePoint> suspects;
   TimePoint nextPollAt{};
@@ -74,25 +74,26 @@
   std::size_t listFailures = 0;
   std::size_t lastRows = 0;
   std::optional<TimePoint> listedAt;
-  std::set<SeenKey> absent;
+  std::set<EndpointKey> absent;
   std::optional<TimePoint> emptySince;
 
-  messages::Table tableOf(TimePoint now, std::string const& service, bool whole) const {
+  messages::Table tableOf(TimePoint now, std::string const& service, bool complete) const {
     messages::Table table;
     table.service = service;
-    std::map<std::string, Sheet>::const_iterator const found = sheets.find(service);
-    if (found == sheets.end()) {
+    std::map<std::string, ServiceTable>::const_iterator const found = serviceTables.find(service);
+    if (found == serviceTables.end()) {
       return table;
     }
     table.digest = found->second.digest;
-    table.whole = whole;
-    if (whole) {
+    table.complete = complete;
+    if (complete) {
       table.rows = found->second.rows;
       for (messages::TableRow& row : table.rows) {
-        std::map<SeenKey, Seen>::const_iterator const known = seen.find(seenKey(service, row));
-        if (known != seen.end()) {
+        std::map<EndpointKey, EndpointHistory>::const_iterator const known =
+            endpointHistory.find(endpointKey(service, row));
+        if (known != endpointHistory.end()) {
           row.ageMs = millisBetween(known->second.firstAt, now);
-          row.warmupMs = millisBetween(now, known->second.coldUntil);
+          row.warmupMs = millisBetween(now, known->second.warmupUntil);
         }
       }
     }
@@ -104,40 +105,40 @@
   }
 
   bool adopt(TimePoint now, std::string const& service, std::vector<messages::TableRow> const& rows,
-             std::optional<std::uint64_t> toldDigest) {
-    bool older = false;
-    std::set<SeenKey> listed;
+             std::optional<std::uint64_t> reportedDigest) {
+    bool olderThanKnown = false;
+    std::set<EndpointKey> listedKeys;
     for (messages::TableRow const& row : rows) {
       TimePoint const firstAt = now - Ms(static_cast<long>(row.ageMs));
-      TimePoint const coldUntil = now + Ms(static_cast<long>(row.warmupMs));
-      SeenKey const key = seenKey(service, row);
-      listed.insert(key);
-      std::map<SeenKey, Seen>::iterator const known = seen.find(key);
-      if (known == seen.end()) {
-        seen.emplace(key, Seen{firstAt, coldUntil, row.warmupMs});
+      TimePoint const warmupUntil = now + Ms(static_cast<long>(row.warmupMs));
+      EndpointKey const key = endpointKey(service, row);
+      listedKeys.insert(key);
+      std::map<EndpointKey, EndpointHistory>::iterator const known = endpointHistory.find(key);
+      if (known == endpointHistory.end()) {
+        endpointHistory.emplace(key, EndpointHistory{firstAt, warmupUntil, row.warmupMs});
         continue;
       }
-      Seen& entry = known->second;
-      older = older || firstAt + options.listMs < entry.firstAt;
+      EndpointHistory& entry = known->second;
+      olderThanKnown = olderThanKnown || firstAt + options.listMs < entry.firstAt;
       entry.firstAt = std::min(entry.firstAt, firstAt);
-      if (row.warmupMs == 0 || entry.coldToldMs == 0 || coldUntil > entry.coldUntil + options.coldRiseMs) {
-        entry.coldToldMs = row.warmupMs;
-        entry.coldUntil = coldUntil;
+      if (row.warmupMs == 0 || entry.warmupReportedMs == 0 || warmupUntil > entry.warmupUntil + options.warmupRiseMs) {
+        entry.warmupReportedMs = row.warmupMs;
+        entry.warmupUntil = warmupUntil;
       }
     }
-    std::erase_if(seen, [&](std::pair<SeenKey const, Seen> const& entry) {
-      return entry.first.first == service && !listed.contains(entry.first);
+    std::erase_if(endpointHistory, [&](std::pair<EndpointKey const, EndpointHistory> const& entry) {
+      return entry.first.first == service && !listedKeys.contains(entry.first);
     });
-    Sheet& sheet = sheets[service];
-    std::uint64_t const digest = toldDigest.value_or(digestOf(service, rows, seen));
-    bool const changed = !sheet.asOf || sheet.digest != digest || older;
-    sheet.rows = rows;
-    sheet.digest = digest;
-    sheet.asOf = now;
+    ServiceTable& serviceTable = serviceTables[service];
+    std::uint64_t const digest = reportedDigest.value_or(digestOf(service, rows, endpointHistory));
+    bool const changed = !serviceTable.asOf || serviceTable.digest != digest || olderThanKnown;
+    serviceTable.rows = rows;
+    serviceTable.digest = digest;
+    serviceTable.asOf = now;
     return changed;
   }
 
-  std::vector<messages::TableRow> rowsOf(List const& list, std::string const& service, bool whole) {
+  std::vector<messages::TableRow> rowsOf(List const& list, std::string const& service, bool complete) {
     std::vector<messages::TableRow> rows;
     std::map<std::string, std::vector<dispatch::ServerEndpoint>>::const_iterator const found =
         list.services.find(service);
@@ -148,24 +149,24 @@
                         static_cast<std::uint64_t>(row.warmupMs.count())});
       }
     }
-    if (whole) {
+    if (complete) {
       return rows;
     }
-    std::set<SeenKey> listed;
+    std::set<EndpointKey> listedKeys;
     for (messages::TableRow const& row : rows) {
-      listed.insert(seenKey(service, row));
-      absent.erase(seenKey(service, row));
+      listedKeys.insert(endpointKey(service, row));
+      absent.erase(endpointKey(service, row));
     }
-    for (messages::TableRow const& row : sheets[service].rows) {
-      SeenKey const key = seenKey(service, row);
-      if (listed.contains(key)) {
+    for (messages::TableRow const& row : serviceTables[service].rows) {
+      EndpointKey const key = endpointKey(service, row);
+      if (listedKeys.contains(key)) {
         continue;
       }
       if (absent.insert(key).second) {
-        messages::TableRow held = row;
-        held.draining = true;
-        held.warmupMs = 0;
-        rows.push_back(std::move(held));
+        messages::TableRow kept = row;
+        kept.draining = true;
+        kept.warmupMs = 0;
+        rows.push_back(std::move(kept));
       } else {
         absent.erase(key);
       }
@@ -173,12 +174,12 @@
     return rows;
   }
 
-  void mayRead(TimePoint now, DeskStep& out) {
-    bool const own = std::any_of(sheets.begin(), sheets.end(), [&](std::pair<std::string const, Sheet> const& entry) {
-      return now <= entry.second.servedUntil;
-    });
-    bool const blank = mayReadBlank(now);
-    if ((own || blank || !page.empty()) && !listPending && now >= nextListAt) {
+  void readListIfDue(TimePoint now, DirectoryStep& out) {
+    bool const own = std::any_of(
+        serviceTables.begin(), serviceTables.end(),
+        [&](std::pair<std::string const, ServiceTable> const& entry) { return now <= entry.second.servedUntil; });
+    bool const withoutServices = mayReadWithoutServices(now);
+    if ((own || withoutServices || !page.empty()) && !listPending && now >= nextListAt) {
       listPending = true;
       if (page.empty()) {
         nextListAt = now + std::max(options.listMs, options.pageMs * static_cast<long>(lastPages));
@@ -188,17 +189,18 @@
     }
   }
 
-  Ms oldNewsMs() const {
-    return std::max(options.oldNewsMs, std::max(options.listMs, options.pageMs * static_cast<long>(lastPages)) * 5 / 2);
+  Ms staleAfterMs() const {
+    return std::max(options.staleAfterMs,
+                    std::max(options.listMs, options.pageMs * static_cast<long>(lastPages)) * 5 / 2);
   }
 
   /// Before this node knows its services it may read the list all the same, so that it has their servers once it does.
   /// In a zone whose nodes start together only the first of them does, since the platform takes few calls a second.
-  bool mayReadBlank(TimePoint now) const {
-    bool const hasTables =
-        lastRows > 0 || std::any_of(sheets.begin(), sheets.end(), [](std::pair<std::string const, Sheet> const& entry) {
-          return entry.second.asOf.has_value();
-        });
+  bool mayReadWithoutServices(TimePoint now) const {
+    bool const hasTables = lastRows > 0 || std::any_of(serviceTables.begin(), serviceTables.end(),
+                                                       [](std::pair<std::string const, ServiceTable> const& entry) {
+                                                         return entry.second.asOf.has_value();
+                                                       });
     if (hasTables || !startedAt) {
       return false;
     }
@@ -217,7 +219,7 @@
   }
 
   void push(TimePoint now, std::vector<std::string> const& changed, std::vector<distribution::Outgoing>& sends) {
-    for (std::pair<std::string const, Listener>& entry : listeners) {
+    for (std::pair<std::string const, Follower>& entry : followers) {
       messages::TableResponse response;
       response.node = node;
       for (std::string const& service : changed) {
@@ -232,7 +234,8 @@
   }
 };
 
-Desk::Desk(DeskPolicy const& options, std::string const& node, std::string const& address, std::string const& zone)
+ServerDirectory::ServerDirectory(ServerDirectoryOptions const& options, std::string const& node,
+                                 std::string const& address, std::string const& zone)
     : impl_(std::make_unique<Impl>()) {
   impl_->options = options;
   impl_->node = node;
@@ -240,24 +243,24 @@
   impl_->zone = zone;
 }
 
-Desk::~Desk() = default;
-Desk::Desk(Desk&&) noexcept = default;
-Desk& Desk::operator=(Desk&&) noexcept = default;
+ServerDirectory::~ServerDirectory() = default;
+ServerDirectory::ServerDirectory(ServerDirectory&&) noexcept = default;
+ServerDirectory& ServerDirectory::operator=(ServerDirectory&&) noexcept = default;
 
-void Desk::setListRate(std::chrono::milliseconds listMs, std::chrono::milliseconds pageMs) {
+void ServerDirectory::setListRate(std::chrono::milliseconds listMs, std::chrono::milliseconds pageMs) {
   impl_->options.listMs = listMs;
   impl_->options.pageMs = pageMs;
 }
 
-DeskStep Desk::tick(TimePoint now, Around const& around) {
+DirectoryStep ServerDirectory::tick(TimePoint now, ZoneView const& zoneView) {
   Impl& impl = *impl_;
-  DeskStep out;
+  DirectoryStep out;
   impl.startedAt = impl.startedAt.value_or(now);
-  if (now < impl.nextPollAt && around.services == impl.services) {
-    impl.mayRead(now, out);
+  if (now < impl.nextPollAt && zoneView.services == impl.services) {
+    impl.readListIfDue(now, out);
     return out;
   }
-  impl.services = around.services;
+  impl.services = zoneView.services;
   impl.nextPollAt = now + impl.options.pollMs;
   std::erase_if(impl.suspects,
                 [&](std::pair<std::string const, TimePoint> const& entry) { return now >= entry.second; });
@@ -268,46 +271,46 @@
     }
     return late;
   });
-  std::erase_if(impl.listeners, [&](std::pair<std::string const, Listener> const& entry) {
+  std::erase_if(impl.followers, [&](std::pair<std::string const, Follower> const& entry) {
     return now - entry.second.at > impl.options.followerMs;
   });
   std::map<std::string, messages::TableRequest> polls;
   std::string first;
-  std::string elder;
+  std::string firstOther;
   std::size_t position = 0;
-  std::size_t place = 0;
-  for (std::string const& candidate : distribution::rankByRendezvousHash("list/" + impl.zone, around.zoneAddresses)) {
+  std::size_t rank = 0;
+  for (std::string const& candidate : distribution::rankByRendezvousHash("list/" + impl.zone, zoneView.zoneAddresses)) {
     if (candidate == impl.address) {
-      position = place;
+      position = rank;
     }
-    ++place;
+    ++rank;
     if (candidate == impl.address || !impl.suspects.contains(candidate)) {
       first = first.empty() ? candidate : first;
-      elder = elder.empty() && candidate != impl.address ? candidate : elder;
+      firstOther = firstOther.empty() && candidate != impl.address ? candidate : firstOther;
     }
   }
   first = first.empty() ? impl.address : first;
-  impl.knowsZone = around.zoneAddresses.size() > 1;
+  impl.knowsZone = zoneView.zoneAddresses.size() > 1;
   impl.isFirstOfZone = first == impl.address;
-  for (std::string const& service : around.services) {
-    Sheet& sheet = impl.sheets[service];
-    bool const old = !sheet.asOf || now - *sheet.asOf > impl.oldNewsMs();
-    TimePoint const oldSince = sheet.asOf ? *sheet.asOf + impl.oldNewsMs() : *impl.startedAt;
-    if (first == impl.address || (old && now - oldSince >= impl.options.stepInMs * position)) {
-      sheet.servedUntil = std::max(sheet.servedUntil, now + impl.options.pollMs * 2);
+  for (std::string const& service : zoneView.services) {
+    ServiceTable& serviceTable = impl.serviceTables[service];
+    bool const stale = !serviceTable.asOf || now - *serviceTable.asOf > impl.staleAfterMs();
+    TimePoint const staleSince = serviceTable.asOf ? *serviceTable.asOf + impl.staleAfterMs() : *impl.startedAt;
+    if (first == impl.address || (stale && now - staleSince >= impl.options.stepInMs * position)) {
+      serviceTable.servedUntil = std::max(serviceTable.servedUntil, now + impl.options.pollMs * 2);
     }
-    std::string home = first;
-    bool const young = now - *impl.startedAt <= impl.options.youngMs;
-    if (home == impl.address && young) {
-      home = elder;
+    std::string owner = first;
+    bool const starting = now - *impl.startedAt <= impl.options.startupMs;
+    if (owner == impl.address && starting) {
+      owner = firstOther;
     }
-    if (!home.empty() && home != impl.address) {
-      messages::TableRequest& poll = polls[home];
+    if (!owner.empty() && owner != impl.address) {
+      messages::TableRequest& poll = polls[owner];
       poll.node = impl.node;
       poll.address = impl.address;
       messages::Table has;
       has.service = service;
-      has.digest = sheet.asOf && !young ? sheet.digest : 0;
+      has.digest = serviceTable.asOf && !starting ? serviceTable.digest : 0;
       poll.have.push_back(std::move(has));
     }
   }
@@ -315,63 +318,64 @@
     impl.askedAt.try_emplace(entry.first, now);
     out.sends.push_back({entry.first, std::move(entry.second)});
   }
-  impl.mayRead(now, out);
+  impl.readListIfDue(now, out);
   return out;
 }
 
-DeskStep Desk::onMessage(TimePoint now, std::string const&, messages::TableRequest const& message) {
+DirectoryStep ServerDirectory::onMessage(TimePoint now, std::string const&, messages::TableRequest const& message) {
   Impl& impl = *impl_;
-  DeskStep out;
-  Listener& listener = impl.listeners[message.node];
-  listener.address = message.address;
-  listener.at = now;
-  listener.has.clear();
+  DirectoryStep out;
+  Follower& follower = impl.followers[message.node];
+  follower.address = message.address;
+  follower.at = now;
+  follower.has.clear();
   messages::TableResponse response;
   response.node = impl.node;
   for (messages::Table const& has : message.have) {
-    if (impl.sheets.size() >= maxSheets && !impl.sheets.contains(has.service)) {
+    if (impl.serviceTables.size() >= maxServiceTables && !impl.serviceTables.contains(has.service)) {
       continue;
     }
-    Sheet& sheet = impl.sheets[has.service];
-    sheet.servedUntil = now + impl.options.followerMs;
-    listener.has[has.service] = has.digest;
-    if (sheet.asOf && now - *sheet.asOf <= impl.oldNewsMs()) {
-      response.tables.push_back(impl.tableOf(now, has.service, sheet.digest != has.digest));
+    ServiceTable& serviceTable = impl.serviceTables[has.service];
+    serviceTable.servedUntil = now + impl.options.followerMs;
+    follower.has[has.service] = has.digest;
+    if (serviceTable.asOf && now - *serviceTable.asOf <= impl.staleAfterMs()) {
+      response.tables.push_back(impl.tableOf(now, has.service, serviceTable.digest != has.digest));
     }
   }
   out.sends.push_back({message.address, std::move(response)});
   return out;
 }
 
-DeskStep Desk::onMessage(TimePoint now, std::string const& address, messages::TableResponse const& message) {
+DirectoryStep ServerDirectory::onMessage(TimePoint now, std::string const& address,
+                                         messages::TableResponse const& message) {
   Impl& impl = *impl_;
-  DeskStep out;
+  DirectoryStep out;
   impl.askedAt.erase(address);
   impl.suspects.erase(address);
   for (messages::Table const& table : message.tables) {
-    Sheet& sheet = impl.sheets[table.service];
-    if (table.whole) {
+    ServiceTable& serviceTable = impl.serviceTables[table.service];
+    if (table.complete) {
       if (impl.adopt(now, table.service, table.rows, table.digest)) {
         out.changed.push_back(table.service);
       }
-    } else if (sheet.asOf && sheet.digest == table.digest) {
-      sheet.asOf = now;
+    } else if (serviceTable.asOf && serviceTable.digest == table.digest) {
+      serviceTable.asOf = now;
     }
   }
-  bool const settled = impl.startedAt && now - *impl.startedAt > impl.options.youngMs;
-  bool const stale =
-      std::any_of(impl.sheets.begin(), impl.sheets.end(), [&](std::pair<std::string const, Sheet> const& entry) {
-        return entry.second.asOf && now - *entry.second.asOf > impl.oldNewsMs();
-      });
+  bool const settled = impl.startedAt && now - *impl.startedAt > impl.options.startupMs;
+  bool const stale = std::any_of(impl.serviceTables.begin(), impl.serviceTables.end(),
+                                 [&](std::pair<std::string const, ServiceTable> const& entry) {
+                                   return entry.second.asOf && now - *entry.second.asOf > impl.staleAfterMs();
+                                 });
   if (settled && stale && message.tables.empty()) {
     impl.suspects[address] = now + impl.options.suspectMs;
   }
   return out;
 }
 
-DeskStep Desk::listed(TimePoint now, List const& page) {
+DirectoryStep ServerDirectory::onListPage(TimePoint now, List const& page) {
   Impl& impl = *impl_;
-  DeskStep out;
+  DirectoryStep out;
   impl.listPending = false;
   impl.listFailures = 0;
   if (!page.nextPage.empty() && impl.pages + 1 >= impl.options.maxPages) {
@@ -402,14 +406,14 @@
     return out;
   }
   List const list = std::move(impl.collected);
-  bool const whole = impl.pages == 1;
+  bool const complete = impl.pages == 1;
   impl.lastPages = impl.pages;
   impl.restartList();
   if (list.rows == 0 && impl.lastRows > 0) {
     impl.emptySince = impl.emptySince.value_or(now);
-    if (now - *impl.emptySince < impl.options.emptyHeldMs) {
-      out.emptyHeld = true;
-      for (std::pair<std::string const, Sheet>& entry : impl.sheets) {
+    if (now - *impl.emptySince < impl.options.emptyListIgnoredMs) {
+      out.emptyListIgnored = true;
+      for (std::pair<std::string const, ServiceTable>& entry : impl.serviceTables) {
         if (now <= entry.second.servedUntil && entry.second.asOf) {
           entry.second.asOf = now;
         }
@@ -421,15 +425,15 @@
   impl.lastRows = list.rows;
   impl.listedAt = now;
   for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& entry : list.services) {
-    if (impl.sheets.size() < maxSheets) {
-      impl.sheets.try_emplace(entry.first);
+    if (impl.serviceTables.size() < maxServiceTables) {
+      impl.serviceTables.try_emplace(entry.first);
     }
   }
-  for (std::pair<std::string const, Sheet>& entry : impl.sheets) {
+  for (std::pair<std::string const, ServiceTable>& entry : impl.serviceTables) {
     if (now > entry.second.servedUntil && entry.second.asOf) {
       continue;
     }
-    if (impl.adopt(now, entry.first, impl.rowsOf(list, entry.first, whole), std::nullopt)) {
+    if (impl.adopt(now, entry.first, impl.rowsOf(list, entry.first, complete), std::nullopt)) {
       out.changed.push_back(entry.first);
     }
   }
@@ -437,12 +441,12 @@
   return out;
 }
 
-void Desk::listFailed() {
+void ServerDirectory::listFailed() {
   impl_->listPending = false;
   impl_->restartList();
 }
 
-void Desk::listFailed(TimePoint now, bool overRate) {
+void ServerDirectory::listFailed(TimePoint now, bool overRate) {
   Impl& impl = *impl_;
   impl.listPending = false;
   if (!overRate) {
@@ -454,10 +458,10 @@
   impl.nextListAt = now + waitMs + waitMs * static_cast<long>(spread) / 200;
 }
 
-std::vector<dispatch::ServerEndpoint> Desk::rows(TimePoint now, std::string const& service) const {
+std::vector<dispatch::ServerEndpoint> ServerDirectory::rows(TimePoint now, std::string const& service) const {
   std::vector<dispatch::ServerEndpoint> out;
-  std::map<std::string, Sheet>::const_iterator const found = impl_->sheets.find(service);
-  if (found == impl_->sheets.end()) {
+  std::map<std::string, ServiceTable>::const_iterator const found = impl_->serviceTables.find(service);
+  if (found == impl_->serviceTables.end()) {
     return out;
   }
   for (messages::TableRow const& row : impl_->tableOf(now, service, true).rows) {
@@ -467,10 +471,10 @@
   return out;
 }
 
-std::optional<Ms> Desk::ageMs(TimePoint now, std::string const& service) const {
-  std::map<std::string, Sheet>::const_iterator const found = impl_->sheets.find(service);
+std::optional<Ms> ServerDirectory::ageMs(TimePoint now, std::string const& service) const {
+  std::map<std::string, ServiceTable>::const_iterator const found = impl_->serviceTables.find(service);
   std::optional<TimePoint> const asOf =
-      found == impl_->sheets.end() || !found->second.asOf ? impl_->listedAt : found->second.asOf;
+      found == impl_->serviceTables.end() || !found->second.asOf ? impl_->listedAt : found->second.asOf;
   return asOf ? std::optional<Ms>(std::chrono::duration_cast<Ms>(now - *asOf)) : std::nullopt;
 }
 
--- a/libs/dispatch/include/limeramp/dispatch/shard_result.h
+++ b/libs/dispatch/include/limeramp/dispatch/shard_result.h
@@ -13,7 +13,7 @@
 
 struct ShardStamp {
   std::string shard;
-  std::string cut;
+  std::string partition;
   std::string request;
   bool operator==(ShardStamp const&) const = default;
 };
--- a/libs/dispatch/src/shard_result.cpp
+++ b/libs/dispatch/src/shard_result.cpp
@@ -55,7 +55,7 @@
   picojson::object const& stampFields = stamp->second.get<picojson::object>();
   for (std::pair<std::string, std::string*> const& want :
        {std::pair<std::string, std::string*>("shard", &part.stamp.shard),
-        std::pair<std::string, std::string*>("cut", &part.stamp.cut),
+        std::pair<std::string, std::string*>("cut", &part.stamp.partition),
         std::pair<std::string, std::string*>("request", &part.stamp.request)}) {
     absl::StatusOr<std::string> value = field(stampFields, want.first);
     if (!value.ok()) {
--- a/libs/gateway/include/limeramp/gateway/gateway_server.h
+++ b/libs/gateway/include/limeramp/gateway/gateway_server.h
@@ -3,7 +3,7 @@
 #include "limeramp/config/settings.h"
 #include "limeramp/config/settings_file.h"
 #include "limeramp/control/operator_protocol_adapter.h"
-#include "limeramp/gateway/dialect.h"
+#include "limeramp/gateway/protocol_adapter.h"
 
 #include <memory>
 #include <string>
@@ -18,7 +18,7 @@
   /// Takes the addresses that the settings name and begins.
   /// @return nothing, with the reason in `error`, if an address cannot be taken
   static std::unique_ptr<GatewayServer> start(config::Settings const& settings, std::string& error,
-                                              Dialect dialect = ownDialect(),
+                                              ProtocolAdapter adapter = nativeProtocolAdapter(),
                                               control::OperatorProtocolAdapter operators = {});
   ~GatewayServer();
   GatewayServer(GatewayServer const&) = delete;
--- a/libs/gateway/include/limeramp/gateway/dialect.h
+++ b/libs/gateway/include/limeramp/gateway/protocol_adapter.h
@@ -24,10 +24,20 @@
   std::optional<std::chrono::milliseconds> remainingMs;
 };
 
-enum class Unserved { malformed, unknownEntry, tooLong, headTooLong, tooSlow, overloaded, stale, deadline, failed };
+enum class RefusalReason {
+  malformed,
+  unknownEntry,
+  tooLong,
+  headTooLong,
+  tooSlow,
+  overloaded,
+  stale,
+  deadline,
+  failed
+};
 
 struct Refusal {
-  Unserved why = Unserved::failed;
+  RefusalReason why = RefusalReason::failed;
   std::string reason;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
   std::optional<std::chrono::milliseconds> retryAfter;
@@ -35,44 +45,44 @@
   std::string version;
 };
 
-struct Asked {
+struct SubrequestContext {
   std::string request;
   std::string service;
-  std::string cut;
+  std::string partition;
   std::string incarnation;
   std::string version;
   std::chrono::milliseconds remainingMs{0};
-  bool part = false;
+  bool expectsShardResult = false;
   std::size_t resultSize = 0;
 };
 
-struct Heard {
-  dispatch::AttemptFinished returned;
-  std::optional<dispatch::ShardResult> part;
+struct ParsedAnswer {
+  dispatch::AttemptFinished finished;
+  std::optional<dispatch::ShardResult> shardResult;
   std::string reason;
 };
 
-struct Gathered {
+struct MergedResult {
   std::string request;
   std::string version;
   std::vector<std::string> services;
   std::vector<std::size_t> missing;
-  std::vector<dispatch::ShardResultPtr> parts;
+  std::vector<dispatch::ShardResultPtr> shardResults;
   std::vector<std::string> records;
 };
 
-struct Dialect {
+struct ProtocolAdapter {
   std::function<std::variant<Caller, Refusal>(net::Request const& request)> readCaller;
-  std::function<net::Answer(Gathered const& gathered)> writeGathered;
+  std::function<net::Answer(MergedResult const& merged)> writeMerged;
   std::function<void(net::Answer& answer, std::string const& request, std::string const& version)> writeForwarded;
   std::function<net::Answer(Refusal const& refusal)> writeRefusal;
-  std::function<void(net::Request& request, Asked const& asked)> writeAsk;
-  std::function<Heard(net::Answer const& answer, Asked const& asked)> readAnswer;
+  std::function<void(net::Request& request, SubrequestContext const& context)> writeAsk;
+  std::function<ParsedAnswer(net::Answer const& answer, SubrequestContext const& context)> readAnswer;
   std::function<net::Request(std::string const& page)> listRequest;
   std::function<absl::StatusOr<discovery::List>(std::string const& body)> readList;
-  config::Language language;
+  config::ConfigSchema schema;
 };
 
-Dialect ownDialect();
+ProtocolAdapter nativeProtocolAdapter();
 
 }  // namespace limeramp::gateway
--- a/libs/gateway/include/limeramp/gateway/request_plane.h
+++ b/libs/gateway/include/limeramp/gateway/request_manager.h
@@ -3,7 +3,7 @@
 #include "limeramp/config/configuration.h"
 #include "limeramp/dispatch/dispatcher.h"
 #include "limeramp/dispatch/shard_result.h"
-#include "limeramp/gateway/dialect.h"
+#include "limeramp/gateway/protocol_adapter.h"
 #include "limeramp/net/http.h"
 
 #include <absl/status/statusor.h>
@@ -18,87 +18,90 @@
 
 using retry::TimePoint;
 
-struct Self {
+struct NodeIdentity {
   std::string node;
   std::string address;
   std::string zone;
   std::uint64_t boot = 0;
 };
 
-struct Arrived {
+struct RequestReceived {
   std::uint64_t request = 0;
   net::Request content;
-  bool passed = false;
+  bool forwarded = false;
   std::optional<std::chrono::milliseconds> remainingMs;
 };
-struct Exchanged {
+struct ExchangeFinished {
   std::uint64_t attempt = 0;
   net::Exchange exchange;
 };
-struct Ground {
+struct ShardResultParsed {
   std::uint64_t attempt = 0;
-  absl::StatusOr<dispatch::ShardResult> part;
+  absl::StatusOr<dispatch::ShardResult> shardResult;
   std::optional<double> load;
 };
-struct Merged {
+struct MergeFinished {
   std::uint64_t request = 0;
   std::vector<std::string> records;
 };
-struct InForce {
+struct ConfigurationInForce {
   config::SnapshotPtr snapshot;
 };
-struct Tables {
+struct EndpointsChanged {
   dispatch::ServersUpdated servers;
 };
-struct Owners {
+struct CellOwners {
   std::string cell;
   std::vector<std::string> addresses;
 };
-struct Placed {
-  dispatch::FleetPosition place;
+struct PositionChanged {
+  dispatch::FleetPosition position;
 };
 struct Tick {};
 
-using Event = std::variant<Arrived, Exchanged, Ground, Merged, InForce, Tables, Owners, Placed, Tick>;
+using RequestEvent = std::variant<RequestReceived, ExchangeFinished, ShardResultParsed, MergeFinished,
+                                  ConfigurationInForce, EndpointsChanged, CellOwners, PositionChanged, Tick>;
 
 struct Reply {
   std::uint64_t request = 0;
   net::Answer answer;
 };
-struct SendOut {
+struct SendRequest {
   std::uint64_t attempt = 0;
   std::string server;
   net::Request content;
   TimePoint deadline;
-  bool carried = false;
+  bool toCellOwner = false;
   std::chrono::milliseconds remainingMs{0};
 };
-struct CancelOut {
+struct CancelRequest {
   std::uint64_t attempt = 0;
 };
-struct Grind {
+struct ParseShardResult {
   std::uint64_t attempt = 0;
   std::string body;
   dispatch::ShardStamp expected;
   std::size_t resultSize = 0;
   std::optional<double> load;
 };
-struct Merge {
+struct MergeShardResults {
   std::uint64_t request = 0;
-  std::vector<dispatch::ShardResultPtr> parts;
+  std::vector<dispatch::ShardResultPtr> shardResults;
   std::size_t resultSize = 0;
 };
 
-using Effect = std::variant<Reply, SendOut, CancelOut, Grind, Merge, dispatch::LogEntry>;
+using RequestEffect =
+    std::variant<Reply, SendRequest, CancelRequest, ParseShardResult, MergeShardResults, dispatch::LogEntry>;
 
-class Plane {
+class RequestManager {
  public:
-  Plane(Self const& self, dispatch::DispatchOptions const& policy, Dialect dialect = ownDialect());
-  ~Plane();
-  Plane(Plane&&) noexcept;
-  Plane& operator=(Plane&&) noexcept;
+  RequestManager(NodeIdentity const& self, dispatch::DispatchOptions const& policy,
+                 ProtocolAdapter adapter = nativeProtocolAdapter());
+  ~RequestManager();
+  RequestManager(RequestManager&&) noexcept;
+  RequestManager& operator=(RequestManager&&) noexcept;
 
-  std::vector<Effect> step(TimePoint now, Event const& event);
+  std::vector<RequestEffect> step(TimePoint now, RequestEvent const& event);
   std::optional<TimePoint> nextWake(TimePoint now) const;
   config::SnapshotPtr snapshot() const;
   std::vector<dispatch::ServerStatus> servers(TimePoint now) const;
--- a/libs/gateway/src/configuration_in_force.cpp
+++ b/libs/gateway/src/configuration_in_force.cpp
@@ -10,26 +10,27 @@
 namespace {
 
 constexpr std::uint64_t minBudgetSlots = 20;
-constexpr std::size_t leavingFronts = 1'000'000;
+constexpr std::size_t gatewayCountWhileDraining = 1'000'000;
 constexpr double slackShare = 0.9;
 constexpr double connectionShare = 0.85;
 constexpr std::size_t minConnections = 2;
-constexpr std::size_t maxAllowances = 20'000;
+constexpr std::size_t maxConnectionLimits = 20'000;
 constexpr Ms scarceIdleMs{200};
 
 }  // namespace
 
 void GatewayServer::Impl::putInForce() {
   messages::State const& state = *delivery.state();
-  updatePlace();
+  updateFleetPosition();
   config::Version const version{state.configurationEpoch, state.configurationSequence};
-  if (version == config::Version{} || (plane.snapshot() != nullptr && plane.snapshot()->version >= version)) {
+  if (version == config::Version{} ||
+      (requestManager.snapshot() != nullptr && requestManager.snapshot()->version >= version)) {
     for (std::string const& service : services) {
       updateServers(service);
     }
     return;
   }
-  config::Checked checked = dialect.language.check(state.document);
+  config::CheckedConfiguration checked = adapter.schema.check(state.document);
   unreadable = !checked.configuration;
   if (unreadable) {
     logging::raise(logging::Event::configurationUnreadable,
@@ -40,10 +41,10 @@
   snapshot->version = version;
   snapshot->text = state.document;
   snapshot->configuration = *std::move(checked.configuration);
-  step(InForce{snapshot});
+  step(ConfigurationInForce{snapshot});
   applyCallerLimits();
   replaceServices(snapshot->configuration);
-  updatePlace();
+  updateFleetPosition();
   logging::raise(logging::Event::configurationInForce, {{"version", version.text()}});
 }
 
@@ -54,7 +55,7 @@
   }
   for (std::string const& service : services) {
     if (!next.contains(service)) {
-      step(Tables{dispatch::ServersUpdated{service, {}}});
+      step(EndpointsChanged{dispatch::ServersUpdated{service, {}}});
     }
   }
   services = std::move(next);
@@ -63,7 +64,7 @@
   }
 }
 
-void GatewayServer::Impl::updatePlace() {
+void GatewayServer::Impl::updateFleetPosition() {
   messages::State const& state = *delivery.state();
   dispatch::FleetPosition own;
   own.zone = settings.zone;
@@ -79,15 +80,15 @@
     ++index;
   }
   if (draining) {
-    own.gatewayCount = leavingFronts;
+    own.gatewayCount = gatewayCountWhileDraining;
     own.budgetDepth = 0;
   }
-  step(Placed{own});
-  if (plane.snapshot() == nullptr) {
+  step(PositionChanged{own});
+  if (requestManager.snapshot() == nullptr) {
     return;
   }
-  for (config::Cell const& cell : plane.snapshot()->configuration.cells) {
-    Owners owners{cell.name, {}};
+  for (config::Cell const& cell : requestManager.snapshot()->configuration.cells) {
+    CellOwners owners{cell.name, {}};
     for (messages::RosterEntry const& entry : state.roster) {
       if (cell.nodes.contains(entry.node) && entry.node != settings.node) {
         owners.addresses.push_back(entry.address);
@@ -104,23 +105,23 @@
   }
   double const share = static_cast<double>(allowed) * connectionShare /
                        static_cast<double>(std::max<std::size_t>(1, delivery.state()->roster.size()));
-  net::Allowance const allowance{std::max<std::size_t>(minConnections, static_cast<std::size_t>(share)),
-                                 share < minConnections ? scarceIdleMs : net::Allowance{}.idleMs};
-  net::Allowance& known = allowances[address];
-  if (known.most != allowance.most || known.idleMs != allowance.idleMs) {
-    if (allowances.size() > maxAllowances) {
-      allowances.clear();
+  net::ConnectionLimit const limit{std::max<std::size_t>(minConnections, static_cast<std::size_t>(share)),
+                                   share < minConnections ? scarceIdleMs : net::ConnectionLimit{}.idleMs};
+  net::ConnectionLimit& known = connectionLimits[address];
+  if (known.maximum != limit.maximum || known.idleMs != limit.idleMs) {
+    if (connectionLimits.size() > maxConnectionLimits) {
+      connectionLimits.clear();
     }
-    allowances[address] = allowance;
-    client.allow(*server, allowance);
+    connectionLimits[address] = limit;
+    client.allow(*server, limit);
   }
 }
 
 void GatewayServer::Impl::updateServers(std::string const& service) {
-  if (plane.snapshot() == nullptr || !services.contains(service)) {
+  if (requestManager.snapshot() == nullptr || !services.contains(service)) {
     return;
   }
-  config::Configuration const& configuration = plane.snapshot()->configuration;
+  config::Configuration const& configuration = requestManager.snapshot()->configuration;
   std::set<std::string> const evacuated = control::evacuatedZones(*delivery.state(), configuration);
   Clock::time_point const now = Clock::now();
   dispatch::ServersUpdated servers{service, directory.rows(now, service)};
@@ -132,11 +133,11 @@
       row.slowStartMs = configuration.services.at(service).slowStartMs;
     }
   }
-  step(Tables{std::move(servers)});
+  step(EndpointsChanged{std::move(servers)});
 }
 
 void GatewayServer::Impl::applyCallerLimits() {
-  config::CallerLimits const& limits = plane.snapshot()->configuration.limits;
+  config::CallerLimits const& limits = requestManager.snapshot()->configuration.limits;
   net::ServerBounds bounds;
   bounds.maxConnections = settings.maxConnections;
   bounds.maxHeaderBytes = limits.maxHeaderBytes;
--- a/libs/gateway/src/event_loop.cpp
+++ b/libs/gateway/src/event_loop.cpp
@@ -38,7 +38,7 @@
 
 void GatewayServer::Impl::armTimer() {
   Clock::time_point const now = Clock::now();
-  Clock::time_point const wake = std::max(now, std::min(nextTick, plane.nextWake(now).value_or(nextTick)));
+  Clock::time_point const wake = std::max(now, std::min(nextTick, requestManager.nextWake(now).value_or(nextTick)));
   if (armedFor <= wake) {
     return;
   }
@@ -50,8 +50,8 @@
 void GatewayServer::Impl::onTimer() {
   armedFor = Clock::time_point::max();
   Clock::time_point const now = Clock::now();
-  if (plane.nextWake(now).value_or(Clock::time_point::max()) <= now) {
-    inboundMessages.emplace_back(Event(Tick{}));
+  if (requestManager.nextWake(now).value_or(Clock::time_point::max()) <= now) {
+    inboundMessages.emplace_back(RequestEvent(Tick{}));
   }
   if (now >= nextTick) {
     nextTick = now + tickMs;
@@ -71,34 +71,34 @@
   apply(settingsFollower.tick(now));
 }
 
-discovery::Around GatewayServer::Impl::surroundings() const {
-  discovery::Around around;
-  around.services = services;
-  around.zoneAddresses.push_back(settings.advertise);
+discovery::ZoneView GatewayServer::Impl::surroundings() const {
+  discovery::ZoneView zoneView;
+  zoneView.services = services;
+  zoneView.zoneAddresses.push_back(settings.advertise);
   if (delivery.state()) {
     for (messages::RosterEntry const& entry : delivery.state()->roster) {
       if (entry.zone == settings.zone && entry.address != settings.advertise) {
-        around.zoneAddresses.push_back(entry.address);
+        zoneView.zoneAddresses.push_back(entry.address);
       }
     }
-    return around;
+    return zoneView;
   }
   for (messages::Peer const& peer : views.peers(Clock::now())) {
     if (peer.role == messages::gatewayRole && peer.zone == settings.zone && peer.address != settings.advertise) {
-      around.zoneAddresses.push_back(peer.address);
+      zoneView.zoneAddresses.push_back(peer.address);
     }
   }
-  return around;
+  return zoneView;
 }
 
 void GatewayServer::Impl::refreshReadiness(Clock::time_point now) {
-  std::string const why = whyNotReady(now);
+  std::string const why = notReadyReason(now);
   if (!callersLetIn && (why.empty() || now - startedAt >= settings.startHoldMs)) {
     callersLetIn = true;
     listeners.open(node::Listeners::Audience::callers);
   }
-  if (why != lastWhy) {
-    lastWhy = why;
+  if (why != lastNotReadyReason) {
+    lastNotReadyReason = why;
     logging::raise(logging::Event::readinessChanged, {{"ready", why.empty() ? "yes" : "no"}, {"reason", why}});
   }
 }
@@ -117,7 +117,7 @@
   listeners.drain();
   delivery.leave();
   if (delivery.state()) {
-    updatePlace();
+    updateFleetPosition();
   }
   logging::raise(logging::Event::drainBegan, {});
 }
@@ -131,9 +131,9 @@
   directory.setListRate(settings.listMs, settings.listPageMs);
   listeners.setMaxConnections(settings.maxConnections);
   if (delivery.state()) {
-    updatePlace();
+    updateFleetPosition();
   }
-  std::unique_lock<std::mutex> const lock(heldMutex);
+  std::unique_lock<std::mutex> const lock(unansweredMutex);
   drainTimes = {settings.graceMs, settings.noticeMs};
 }
 
@@ -141,8 +141,9 @@
   std::unordered_map<std::uint64_t, net::Responder> const waiting = std::move(responders);
   responders.clear();
   for (std::pair<std::uint64_t const, net::Responder> const& entry : waiting) {
-    entry.second(dialect.writeRefusal({Unserved::failed, "this node ends", retry::Verdict::mayHaveRun, {}, "", ""}));
-    countHeld(-1);
+    entry.second(
+        adapter.writeRefusal({RefusalReason::failed, "this node ends", retry::Verdict::mayHaveRun, {}, "", ""}));
+    countUnanswered(-1);
   }
 }
 
--- a/libs/gateway/src/forwarding.cpp
+++ b/libs/gateway/src/forwarding.cpp
@@ -32,7 +32,7 @@
 }
 
 /// The request that carries a caller's request to another node.
-net::Request enclosed(SendOut const& effect, std::string const& from) {
+net::Request toForwardRequest(SendRequest const& effect, std::string const& from) {
   messages::ForwardRequest forward;
   forward.remainingMs = static_cast<std::uint64_t>(std::max<long>(1, effect.remainingMs.count()));
   forward.method = effect.content.method;
@@ -47,7 +47,7 @@
 }
 
 /// Replaces the other node's answer by the one that it carries. One that carries none may have run.
-net::Exchange disclosed(net::Exchange exchange) {
+net::Exchange fromForwardReply(net::Exchange exchange) {
   if (!exchange.answer) {
     return exchange;
   }
@@ -64,26 +64,27 @@
 
 }  // namespace
 
-void GatewayServer::Impl::admit(net::Request content, net::Responder respond, bool passed,
+void GatewayServer::Impl::admit(net::Request content, net::Responder respond, bool forwarded,
                                 std::optional<Ms> remainingMs) {
   distribution::ConfigFreshness const freshness = delivery.status(Clock::now()).freshness;
   if (freshness != distribution::ConfigFreshness::confirmedByPrimary &&
       freshness != distribution::ConfigFreshness::confirmedByMajority) {
     ++refusedStale;
-    respond(dialect.writeRefusal({Unserved::stale, "this node's configuration is " + nameOf(freshness),
+    respond(adapter.writeRefusal({RefusalReason::stale, "this node's configuration is " + nameOf(freshness),
                                   retry::Verdict::notRun, staleRetryMs, "", ""}));
     return;
   }
-  if (content.body.size() >
-      (plane.snapshot() == nullptr ? maxCallerBytes : plane.snapshot()->configuration.limits.maxBodyBytes)) {
-    respond(dialect.writeRefusal(
-        {Unserved::tooLong, "the body is longer than the limit", retry::Verdict::notRun, {}, "", ""}));
+  if (content.body.size() > (requestManager.snapshot() == nullptr
+                                 ? maxCallerBytes
+                                 : requestManager.snapshot()->configuration.limits.maxBodyBytes)) {
+    respond(adapter.writeRefusal(
+        {RefusalReason::tooLong, "the body is longer than the limit", retry::Verdict::notRun, {}, "", ""}));
     return;
   }
   std::uint64_t const request = ++lastRequest;
   responders.emplace(request, std::move(respond));
-  countHeld(1);
-  step(Arrived{request, std::move(content), passed, remainingMs});
+  countUnanswered(1);
+  step(RequestReceived{request, std::move(content), forwarded, remainingMs});
 }
 
 void GatewayServer::Impl::takeForwarded(Incoming& inbound) {
@@ -105,8 +106,8 @@
       true, Ms(static_cast<long>(std::min<std::uint64_t>(received->remainingMs, maxForwardedMs))));
 }
 
-void GatewayServer::Impl::step(Event const& event) {
-  for (Effect const& effect : plane.step(Clock::now(), event)) {
+void GatewayServer::Impl::step(RequestEvent const& event) {
+  for (RequestEffect const& effect : requestManager.step(Clock::now(), event)) {
     std::visit([this](auto const& concrete) { apply(concrete); }, effect);
   }
 }
@@ -116,34 +117,35 @@
   if (found != responders.end()) {
     found->second(effect.answer);
     responders.erase(found);
-    countHeld(-1);
+    countUnanswered(-1);
   }
 }
 
-void GatewayServer::Impl::apply(SendOut const& effect) {
+void GatewayServer::Impl::apply(SendRequest const& effect) {
   net::Address const address = net::Address::parse(effect.server).value_or(net::Address{});
   std::uint64_t const attempt = effect.attempt;
-  bool const forwarded = effect.carried;
-  net::Request content = forwarded ? enclosed(effect, settings.advertise) : effect.content;
-  client.begin(attempt, address, std::move(content), effect.deadline,
-               [this, attempt, forwarded](net::Exchange exchange) {
-                 post(Event(Exchanged{attempt, forwarded ? disclosed(std::move(exchange)) : std::move(exchange)}));
-               });
+  bool const forwarded = effect.toCellOwner;
+  net::Request content = forwarded ? toForwardRequest(effect, settings.advertise) : effect.content;
+  client.begin(
+      attempt, address, std::move(content), effect.deadline, [this, attempt, forwarded](net::Exchange exchange) {
+        post(RequestEvent(
+            ExchangeFinished{attempt, forwarded ? fromForwardReply(std::move(exchange)) : std::move(exchange)}));
+      });
 }
 
-void GatewayServer::Impl::apply(Grind const& effect) {
+void GatewayServer::Impl::apply(ParseShardResult const& effect) {
   std::uint64_t const attempt = effect.attempt;
   std::optional<double> const load = effect.load;
   workers.read(effect.body, effect.expected, effect.resultSize,
-               [this, attempt, load](absl::StatusOr<dispatch::ShardResult> part) {
-                 post(Event(Ground{attempt, std::move(part), load}));
+               [this, attempt, load](absl::StatusOr<dispatch::ShardResult> shardResult) {
+                 post(RequestEvent(ShardResultParsed{attempt, std::move(shardResult), load}));
                });
 }
 
-void GatewayServer::Impl::apply(Merge const& effect) {
+void GatewayServer::Impl::apply(MergeShardResults const& effect) {
   std::uint64_t const request = effect.request;
-  workers.merge(effect.parts, effect.resultSize, [this, request](std::vector<std::string> records) {
-    post(Event(Merged{request, std::move(records)}));
+  workers.merge(effect.shardResults, effect.resultSize, [this, request](std::vector<std::string> records) {
+    post(RequestEvent(MergeFinished{request, std::move(records)}));
   });
 }
 
@@ -151,10 +153,10 @@
   logging::raise(note.event, {{"service", note.service}, {"about", note.server}});
 }
 
-void GatewayServer::Impl::countHeld(int change) {
-  std::unique_lock<std::mutex> const lock(heldMutex);
-  held += static_cast<std::size_t>(change);
-  heldChanged.notify_all();
+void GatewayServer::Impl::countUnanswered(int change) {
+  std::unique_lock<std::mutex> const lock(unansweredMutex);
+  unanswered += static_cast<std::size_t>(change);
+  unansweredChanged.notify_all();
 }
 
 }  // namespace limeramp::gateway
--- a/libs/gateway/src/gateway_server.cpp
+++ b/libs/gateway/src/gateway_server.cpp
@@ -24,8 +24,8 @@
   return options;
 }
 
-discovery::DeskPolicy directoryPolicyOf(config::Settings const& settings) {
-  discovery::DeskPolicy options;
+discovery::ServerDirectoryOptions directoryPolicyOf(config::Settings const& settings) {
+  discovery::ServerDirectoryOptions options;
   options.listMs = settings.listMs;
   options.pageMs = settings.listPageMs;
   return options;
@@ -37,36 +37,37 @@
   return bounds;
 }
 
-Unserved unservedOf(int status) {
+RefusalReason refusalReasonOf(int status) {
   switch (status) {
     case 413:
-      return Unserved::tooLong;
+      return RefusalReason::tooLong;
     case 431:
-      return Unserved::headTooLong;
+      return RefusalReason::headTooLong;
     case 408:
-      return Unserved::tooSlow;
+      return RefusalReason::tooSlow;
     default:
-      return Unserved::malformed;
+      return RefusalReason::malformed;
   }
 }
 
 }  // namespace
 
-GatewayServer::Impl::Impl(config::Settings const& settingsIn, Dialect dialectIn,
+GatewayServer::Impl::Impl(config::Settings const& settingsIn, ProtocolAdapter adapterIn,
                           control::OperatorProtocolAdapter operatorsIn)
     : settings(settingsIn),
       settingsFollower(settingsIn),
-      dialect(std::move(dialectIn)),
+      adapter(std::move(adapterIn)),
       operators(std::move(operatorsIn)),
       client(network, clientBounds()),
       peerLink(network, settingsIn.node, settingsIn.advertise),
-      workers(settingsIn.hands),
-      boot(net::randomWord() >> 1),
-      plane(Self{settingsIn.node, settingsIn.advertise, settingsIn.zone, boot}, dispatchOptionsOf(settingsIn), dialect),
+      workers(settingsIn.workerThreads),
+      boot(net::randomUint64() >> 1),
+      requestManager(NodeIdentity{settingsIn.node, settingsIn.advertise, settingsIn.zone, boot},
+                     dispatchOptionsOf(settingsIn), adapter),
       views({}, messages::Peer{settingsIn.node, settingsIn.advertise, settingsIn.zone, messages::gatewayRole, boot, 0},
-            settingsIn.seeds, net::randomWord()),
+            settingsIn.seeds, net::randomUint64()),
       delivery({}, messages::Follower{settingsIn.node, settingsIn.advertise, settingsIn.zone, 0, 0}, boot,
-               net::randomWord()),
+               net::randomUint64()),
       directory(directoryPolicyOf(settingsIn), settingsIn.node, settingsIn.advertise, settingsIn.zone),
       forwarder(client, settingsIn.advertise, relayAttempts,
                 [this](control::ForwardFinished back) { post(std::move(back)); }),
@@ -78,7 +79,7 @@
   options.bounds.maxConnections = settings.maxConnections;
   options.bounds.maxBodyBytes = maxBodyBytes;
   options.refuse = [this](int status, std::string const& reason) {
-    return dialect.writeRefusal({unservedOf(status), reason, retry::Verdict::notRun, {}, "", ""});
+    return adapter.writeRefusal({refusalReasonOf(status), reason, retry::Verdict::notRun, {}, "", ""});
   };
   return options;
 }
@@ -87,8 +88,8 @@
   using Audience = node::Listeners::Audience;
   net::HttpServer::Handler const takePeer = [this](net::Request request, net::Responder respond) {
     if (inboundMessages.size() >= maxInboundMessages) {
-      respond(
-          dialect.writeRefusal({Unserved::overloaded, "overloaded", retry::Verdict::notRun, overloadPauseMs, "", ""}));
+      respond(adapter.writeRefusal(
+          {RefusalReason::overloaded, "overloaded", retry::Verdict::notRun, overloadPauseMs, "", ""}));
       return;
     }
     post(Incoming{std::move(request), std::move(respond), false});
@@ -112,21 +113,22 @@
 void GatewayServer::Impl::drainAndWait() {
   Clock::time_point const begunAt = Clock::now();
   post(DrainRequested{});
-  std::unique_lock<std::mutex> lock(heldMutex);
+  std::unique_lock<std::mutex> lock(unansweredMutex);
   Ms const graceMs = std::max(drainTimes.graceMs, lastAnswersMs * 4);
-  heldChanged.wait_until(lock, begunAt + std::min(graceMs / 2, drainTimes.noticeMs), [] { return false; });
+  unansweredChanged.wait_until(lock, begunAt + std::min(graceMs / 2, drainTimes.noticeMs), [] { return false; });
   listeners.stopAccepting();
-  heldChanged.wait_until(lock, begunAt + graceMs - lastAnswersMs * 2, [this] { return held == 0; });
+  unansweredChanged.wait_until(lock, begunAt + graceMs - lastAnswersMs * 2, [this] { return unanswered == 0; });
   post(EndRequested{});
-  heldChanged.wait_for(lock, lastAnswersMs, [] { return false; });
+  unansweredChanged.wait_for(lock, lastAnswersMs, [] { return false; });
 }
 
 GatewayServer::GatewayServer() = default;
 
 std::unique_ptr<GatewayServer> GatewayServer::start(config::Settings const& settings, std::string& error,
-                                                    Dialect dialect, control::OperatorProtocolAdapter operators) {
+                                                    ProtocolAdapter adapter,
+                                                    control::OperatorProtocolAdapter operators) {
   std::unique_ptr<GatewayServer> gateway(new GatewayServer());
-  gateway->impl_ = std::make_unique<Impl>(settings, std::move(dialect), std::move(operators));
+  gateway->impl_ = std::make_unique<Impl>(settings, std::move(adapter), std::move(operators));
   Impl& impl = *gateway->impl_;
   if (!impl.listen(error)) {
     return nullptr;
--- a/libs/gateway/src/gateway_server_impl.h
+++ b/libs/gateway/src/gateway_server_impl.h
@@ -4,7 +4,7 @@
 #include "limeramp/discovery/server_directory.h"
 #include "limeramp/distribution/config_delivery.h"
 #include "limeramp/gateway/gateway_server.h"
-#include "limeramp/gateway/request_plane.h"
+#include "limeramp/gateway/request_manager.h"
 #include "limeramp/node/listeners.h"
 #include "limeramp/node/peer_link.h"
 #include "limeramp/node/settings_follower.h"
@@ -52,16 +52,16 @@
 struct ReloadRequested {};
 
 using InboundMessage = std::variant<Incoming, ListRead, control::ForwardFinished, DrainRequested, EndRequested,
-                                    FollowSettings, ReloadRequested, Event>;
+                                    FollowSettings, ReloadRequested, RequestEvent>;
 
 std::string nameOf(distribution::ConfigFreshness freshness);
 
-/// All of a gateway. Its members belong to the network's thread, but for what `heldMutex` guards.
+/// All of a gateway. Its members belong to the network's thread, but for what `unansweredMutex` guards.
 ///
 /// The functions stand by job in event_loop.cpp, forwarding.cpp, operator_calls.cpp, peer_messages.cpp,
 /// configuration_in_force.cpp, list_reader.cpp and status_pages.cpp.
 struct GatewayServer::Impl {
-  Impl(config::Settings const& settingsIn, Dialect dialectIn, control::OperatorProtocolAdapter operatorsIn);
+  Impl(config::Settings const& settingsIn, ProtocolAdapter adapterIn, control::OperatorProtocolAdapter operatorsIn);
 
   // Start and end: gateway_server.cpp.
   bool listen(std::string& error);
@@ -74,7 +74,7 @@
   void armTimer();
   void onTimer();
   void tick();
-  discovery::Around surroundings() const;
+  discovery::ZoneView surroundings() const;
   void refreshReadiness(Clock::time_point now);
   void on(Incoming& inbound);
   void on(ListRead& inbound);
@@ -83,20 +83,20 @@
   void on(EndRequested& inbound);
   void on(FollowSettings& inbound) { settingsFollower.follow(std::move(inbound.file)); }
   void on(ReloadRequested&) { apply(settingsFollower.reload(Clock::now())); }
-  void on(Event& event) { step(event); }
+  void on(RequestEvent& event) { step(event); }
   void apply(std::optional<config::SettingsUpdate> const& update);
 
   // Callers' requests: forwarding.cpp.
-  void admit(net::Request content, net::Responder respond, bool passed, std::optional<Ms> remainingMs);
+  void admit(net::Request content, net::Responder respond, bool forwarded, std::optional<Ms> remainingMs);
   void takeForwarded(Incoming& inbound);
-  void step(Event const& event);
+  void step(RequestEvent const& event);
   void apply(Reply const& effect);
-  void apply(SendOut const& effect);
-  void apply(CancelOut const& effect) { client.cancel(effect.attempt); }
-  void apply(Grind const& effect);
-  void apply(Merge const& effect);
+  void apply(SendRequest const& effect);
+  void apply(CancelRequest const& effect) { client.cancel(effect.attempt); }
+  void apply(ParseShardResult const& effect);
+  void apply(MergeShardResults const& effect);
   void apply(dispatch::LogEntry const& note);
-  void countHeld(int change);
+  void countUnanswered(int change);
 
   // Calls under /limeramp: operator_calls.cpp.
   void serveOperator(Incoming& inbound);
@@ -110,27 +110,27 @@
   // The state in force: configuration_in_force.cpp.
   void putInForce();
   void replaceServices(config::Configuration const& configuration);
-  void updatePlace();
+  void updateFleetPosition();
   void updateServers(std::string const& service);
   void boundConnections(std::string const& address, std::size_t allowed);
   void applyCallerLimits();
 
   // The platform's list: list_reader.cpp.
-  void apply(discovery::DeskStep const& step);
+  void apply(discovery::DirectoryStep const& step);
   void readList(std::string const& page);
   void takeList(discovery::List const& list);
 
   // Pages: status_pages.cpp.
-  std::string whyNotReady(Clock::time_point now) const;
+  std::string notReadyReason(Clock::time_point now) const;
   net::Answer readinessPage() const;
   net::Answer currentConfiguration() const;
   net::Answer statusPage() const;
   net::Answer metricsPage() const;
-  std::vector<query::Sheet> tables() const;
+  std::vector<query::Table> tables() const;
 
   config::Settings settings;
   node::SettingsFollower settingsFollower;
-  Dialect dialect;
+  ProtocolAdapter adapter;
   control::OperatorProtocolAdapter operators;
   net::Network network;
   net::HttpClient client;
@@ -142,33 +142,33 @@
   Clock::time_point armedFor = Clock::time_point::max();
   /// Tells this start of the process from every other.
   std::uint64_t boot;
-  Plane plane;
+  RequestManager requestManager;
   distribution::PeerViews views;
   distribution::ConfigDelivery delivery;
-  discovery::Desk directory;
+  discovery::ServerDirectory directory;
   control::OrderForwarder forwarder;
-  query::Clerk queries;
+  query::QueryWorker queries;
   node::Listeners listeners;
   net::Network::TimerId alarm = 0;
   std::unordered_map<std::uint64_t, net::Responder> responders;
   std::uint64_t lastRequest = 0;
   std::string fleet;
   std::set<std::string> services;
-  std::map<std::string, net::Allowance> allowances;
+  std::map<std::string, net::ConnectionLimit> connectionLimits;
   std::vector<std::string> droppedRows;
-  std::string listTrouble;
+  std::string listProblem;
   Clock::time_point startedAt = Clock::now();
   bool draining = false;
-  std::string lastWhy = "starting";
+  std::string lastNotReadyReason = "starting";
   bool callersLetIn = false;
   bool unreadable = false;
   std::uint64_t refusedStale = 0;
 
   /// Guards `held` and `drainTimes`, which the thread that ends the process reads.
-  std::mutex heldMutex;
-  std::condition_variable heldChanged;
+  std::mutex unansweredMutex;
+  std::condition_variable unansweredChanged;
   /// Requests that were read and have no answer yet.
-  std::size_t held = 0;
+  std::size_t unanswered = 0;
   struct DrainTimes {
     Ms graceMs;
     Ms noticeMs;
--- a/libs/gateway/src/list_reader.cpp
+++ b/libs/gateway/src/list_reader.cpp
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-void GatewayServer::Impl::apply(discovery::DeskStep const& step) {
+void GatewayServer::Impl::apply(discovery::DirectoryStep const& step) {
   peerLink.sendAll(fleet, step.sends);
   for (std::string const& service : step.changed) {
     updateServers(service);
   }
-  if (step.emptyHeld && listTrouble != "empty") {
-    listTrouble = "empty";
+  if (step.emptyListIgnored && listProblem != "empty") {
+    listProblem = "empty";
     logging::raise(logging::Event::emptyListIgnored, {{"platform", settings.platform}});
   }
   if (step.readList) {
@@ -27,7 +27,7 @@
 }
 
 void GatewayServer::Impl::readList(std::string const& page) {
-  client.begin(listAttempt, net::Address::parse(settings.platform).value_or(net::Address{}), dialect.listRequest(page),
+  client.begin(listAttempt, net::Address::parse(settings.platform).value_or(net::Address{}), adapter.listRequest(page),
                Clock::now() + listWaitMs, [this](net::Exchange exchange) { post(ListRead{std::move(exchange)}); });
 }
 
@@ -39,9 +39,9 @@
     droppedRows = list.dropped;
   }
   if (list.rows > 0) {
-    listTrouble.clear();
+    listProblem.clear();
   }
-  apply(directory.listed(Clock::now(), list));
+  apply(directory.onListPage(Clock::now(), list));
   refreshReadiness(Clock::now());
 }
 
@@ -49,7 +49,7 @@
   std::optional<net::Answer> const& answer = inbound.exchange.answer;
   std::string reason = answer ? "status " + std::to_string(answer->status) : inbound.exchange.reason;
   if (answer && answer->status == 200) {
-    absl::StatusOr<discovery::List> const list = dialect.readList(answer->body);
+    absl::StatusOr<discovery::List> const list = adapter.readList(answer->body);
     if (list.ok()) {
       takeList(*list);
       return;
@@ -57,8 +57,8 @@
     reason = std::string(list.status().message());
   }
   directory.listFailed(Clock::now(), answer && answer->status == overRateStatus);
-  if (reason != listTrouble) {
-    listTrouble = reason;
+  if (reason != listProblem) {
+    listProblem = reason;
     logging::raise(logging::Event::listUnreachable, {{"platform", settings.platform}, {"reason", reason}});
   }
 }
--- a/libs/gateway/src/dialect.cpp
+++ b/libs/gateway/src/native_protocol_adapter.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/gateway/dialect.h"
+#include "limeramp/gateway/protocol_adapter.h"
 
 #include <charconv>
 
@@ -38,45 +38,45 @@
   Caller caller;
   std::optional<std::string> const tenant = net::findHeader(request.headers, std::string(tenantHeader));
   if (!tenant) {
-    return Refusal{Unserved::malformed, "the header limeramp-tenant is missing", Verdict::notRun, {}, "", ""};
+    return Refusal{RefusalReason::malformed, "the header limeramp-tenant is missing", Verdict::notRun, {}, "", ""};
   }
   caller.tenant = *tenant;
   caller.host = net::plainHost(net::findHeader(request.headers, "host").value_or(""));
   if (std::optional<std::string> const text = net::findHeader(request.headers, std::string(deadlineHeader))) {
-    long asked = 0;
+    long context = 0;
     char const* const last = text->data() + text->size();
-    std::from_chars_result const read = std::from_chars(text->data(), last, asked);
-    if (read.ec != std::errc() || read.ptr != last || asked <= 0 || asked > maxDeadlineMs) {
-      return Refusal{Unserved::malformed,
+    std::from_chars_result const read = std::from_chars(text->data(), last, context);
+    if (read.ec != std::errc() || read.ptr != last || context <= 0 || context > maxDeadlineMs) {
+      return Refusal{RefusalReason::malformed,
                      "limeramp-deadline-ms must be a whole number from 1 to 60000",
                      Verdict::notRun,
                      {},
                      "",
                      ""};
     }
-    caller.remainingMs = Ms(asked);
+    caller.remainingMs = Ms(context);
   }
   return caller;
 }
 
 int statusOf(Refusal const& refusal) {
   switch (refusal.why) {
-    case Unserved::malformed:
+    case RefusalReason::malformed:
       return 400;
-    case Unserved::unknownEntry:
+    case RefusalReason::unknownEntry:
       return 404;
-    case Unserved::tooLong:
+    case RefusalReason::tooLong:
       return 413;
-    case Unserved::headTooLong:
+    case RefusalReason::headTooLong:
       return 431;
-    case Unserved::tooSlow:
+    case RefusalReason::tooSlow:
       return 408;
-    case Unserved::overloaded:
-    case Unserved::stale:
+    case RefusalReason::overloaded:
+    case RefusalReason::stale:
       return 503;
-    case Unserved::deadline:
+    case RefusalReason::deadline:
       return 504;
-    case Unserved::failed:
+    case RefusalReason::failed:
       return 502;
   }
   return 502;
@@ -108,72 +108,72 @@
   answer.headers.emplace_back(versionHeader, version);
 }
 
-void writeAsk(net::Request& request, Asked const& asked) {
+void writeAsk(net::Request& request, SubrequestContext const& context) {
   net::Headers& headers = request.headers;
   for (std::string_view const name : {deadlineHeader, requestHeader, shardHeader, versionHeader, lifeHeader}) {
     net::dropHeader(headers, name);
   }
-  headers.emplace_back(requestHeader, asked.request);
+  headers.emplace_back(requestHeader, context.request);
   request.identity = {requestHeader, answersHeader, false};
-  headers.emplace_back(shardHeader, asked.service);
-  headers.emplace_back(deadlineHeader, std::to_string(asked.remainingMs.count()));
-  headers.emplace_back(versionHeader, asked.version);
-  if (!asked.incarnation.empty()) {
-    headers.emplace_back(lifeHeader, asked.incarnation);
+  headers.emplace_back(shardHeader, context.service);
+  headers.emplace_back(deadlineHeader, std::to_string(context.remainingMs.count()));
+  headers.emplace_back(versionHeader, context.version);
+  if (!context.incarnation.empty()) {
+    headers.emplace_back(lifeHeader, context.incarnation);
   }
 }
 
-Heard readAnswer(net::Answer const& answer, Asked const& asked) {
-  Heard out;
-  out.returned.verdict = retry::Verdict::ran;
-  out.returned.load = loadOf(answer.headers);
-  out.returned.staleIncarnation = answer.status == 421;
-  if (out.returned.staleIncarnation) {
-    out.returned.verdict = retry::Verdict::notRun;
+ParsedAnswer readAnswer(net::Answer const& answer, SubrequestContext const& context) {
+  ParsedAnswer out;
+  out.finished.verdict = retry::Verdict::ran;
+  out.finished.load = loadOf(answer.headers);
+  out.finished.staleIncarnation = answer.status == 421;
+  if (out.finished.staleIncarnation) {
+    out.finished.verdict = retry::Verdict::notRun;
     return out;
   }
-  if (asked.part) {
-    out.returned.good = out.returned.healthy = answer.status >= 200 && answer.status <= 299;
+  if (context.expectsShardResult) {
+    out.finished.good = out.finished.healthy = answer.status >= 200 && answer.status <= 299;
     return out;
   }
-  out.returned.good = true;
-  out.returned.healthy = answer.status < 500;
+  out.finished.good = true;
+  out.finished.healthy = answer.status < 500;
   return out;
 }
 
-net::Answer writeGathered(Gathered const& gathered) {
-  std::string body = "{\"request\":" + json(gathered.request) + ",\"version\":\"" + gathered.version +
-                     "\",\"missing\":" + std::to_string(gathered.missing.size()) + ",\"missing_shards\":[";
-  for (std::size_t index = 0; index < gathered.missing.size(); ++index) {
-    body += (index == 0 ? "" : ",") + json(gathered.services[gathered.missing[index]]);
+net::Answer writeMerged(MergedResult const& merged) {
+  std::string body = "{\"request\":" + json(merged.request) + ",\"version\":\"" + merged.version +
+                     "\",\"missing\":" + std::to_string(merged.missing.size()) + ",\"missing_shards\":[";
+  for (std::size_t index = 0; index < merged.missing.size(); ++index) {
+    body += (index == 0 ? "" : ",") + json(merged.services[merged.missing[index]]);
   }
   body += "],\"stamps\":[";
   bool first = true;
-  for (dispatch::ShardResultPtr const& part : gathered.parts) {
-    body += std::string(first ? "" : ",") + "{\"shard\":" + json(part->stamp.shard) +
-            ",\"cut\":" + json(part->stamp.cut) + "}";
+  for (dispatch::ShardResultPtr const& shardResult : merged.shardResults) {
+    body += std::string(first ? "" : ",") + "{\"shard\":" + json(shardResult->stamp.shard) +
+            ",\"cut\":" + json(shardResult->stamp.partition) + "}";
     first = false;
   }
   body += "],\"records\":[";
-  for (std::size_t index = 0; index < gathered.records.size(); ++index) {
-    body += (index == 0 ? "" : ",") + json(gathered.records[index]);
+  for (std::size_t index = 0; index < merged.records.size(); ++index) {
+    body += (index == 0 ? "" : ",") + json(merged.records[index]);
   }
   body += "]}";
   net::Answer answer;
   answer.headers.emplace_back("content-type", "application/json");
   answer.headers.emplace_back(verdictHeader, "ran");
-  answer.headers.emplace_back(requestHeader, gathered.request);
-  answer.headers.emplace_back(versionHeader, gathered.version);
+  answer.headers.emplace_back(requestHeader, merged.request);
+  answer.headers.emplace_back(versionHeader, merged.version);
   answer.body = std::move(body);
   return answer;
 }
 
 }  // namespace
 
-Dialect ownDialect() {
-  Dialect out;
+ProtocolAdapter nativeProtocolAdapter() {
+  ProtocolAdapter out;
   out.readCaller = readCaller;
-  out.writeGathered = writeGathered;
+  out.writeMerged = writeMerged;
   out.writeForwarded = writeForwarded;
   out.writeRefusal = writeRefusal;
   out.writeAsk = writeAsk;
@@ -182,7 +182,7 @@
     return net::Request{"GET", page.empty() ? "/servers" : "/servers?page=" + net::percentEncoded(page), {}, "", ""};
   };
   out.readList = [](std::string const& body) { return discovery::readList(body); };
-  out.language = config::ownLanguage();
+  out.schema = config::nativeConfigSchema();
   return out;
 }
 
--- a/libs/gateway/src/operator_calls.cpp
+++ b/libs/gateway/src/operator_calls.cpp
@@ -31,8 +31,8 @@
   } else if (target == "/limeramp/query" && method == "POST") {
     runQuery(inbound);
   } else if (target == "/limeramp/drain" && method == "POST") {
-    DrainRequested asked;
-    on(asked);
+    DrainRequested context;
+    on(context);
     inbound.respond(control::plain(200, "{\"draining\":true}"));
   } else {
     inbound.respond(control::plain(404, "{\"reason\":\"no such page\"}"));
--- a/libs/gateway/src/status_pages.cpp
+++ b/libs/gateway/src/status_pages.cpp
@@ -36,11 +36,11 @@
   return out;
 }
 
-std::int64_t whole(bool flag) { return static_cast<std::int64_t>(flag); }
+std::int64_t integerOf(bool flag) { return static_cast<std::int64_t>(flag); }
 
-query::Sheet nodesTable(messages::State const& state, std::vector<messages::Peer> const& peers,
+query::Table nodesTable(messages::State const& state, std::vector<messages::Peer> const& peers,
                         std::string const& self) {
-  query::Sheet table{"nodes", {"node", "address", "zone", "slot", "heard_ms"}, {}};
+  query::Table table{"nodes", {"node", "address", "zone", "slot", "heard_ms"}, {}};
   for (messages::RosterEntry const& entry : state.roster) {
     std::int64_t heardMs = entry.node == self ? 0 : -1;
     for (messages::Peer const& peer : peers) {
@@ -51,8 +51,8 @@
   return table;
 }
 
-query::Sheet controllersTable(std::vector<messages::Peer> const& peers) {
-  query::Sheet table{"controllers", {"id", "address", "zone", "heard_ms"}, {}};
+query::Table controllersTable(std::vector<messages::Peer> const& peers) {
+  query::Table table{"controllers", {"id", "address", "zone", "heard_ms"}, {}};
   for (messages::Peer const& peer : peers) {
     if (peer.role == messages::controllerRole) {
       table.rows.push_back({peer.node, peer.address, peer.zone, static_cast<std::int64_t>(peer.ageMs)});
@@ -61,19 +61,19 @@
   return table;
 }
 
-query::Sheet serversTable(std::vector<dispatch::ServerStatus> const& servers) {
-  query::Sheet table{
+query::Table serversTable(std::vector<dispatch::ServerStatus> const& servers) {
+  query::Table table{
       "servers", {"service", "address", "zone", "in_flight", "latency_ms", "down", "leaving", "fresh", "load"}, {}};
   for (dispatch::ServerStatus const& server : servers) {
     table.rows.push_back({server.service, server.address, server.zone, static_cast<std::int64_t>(server.inFlight),
-                          server.latencyMs, whole(server.ejected), whole(server.draining), whole(server.warmingUp),
-                          server.load});
+                          server.latencyMs, integerOf(server.ejected), integerOf(server.draining),
+                          integerOf(server.warmingUp), server.load});
   }
   return table;
 }
 
-query::Sheet entriesTable(config::Configuration const& configuration) {
-  query::Sheet table{"entries", {"name", "kind", "tenant", "prefix", "deadline_ms", "max_attempts"}, {}};
+query::Table entriesTable(config::Configuration const& configuration) {
+  query::Table table{"entries", {"name", "kind", "tenant", "prefix", "deadline_ms", "max_attempts"}, {}};
   for (config::Search const& search : configuration.searches) {
     table.rows.push_back({search.name, std::string("search"), search.tenant, search.prefix, search.deadlineMs.count(),
                           static_cast<std::int64_t>(search.maxAttempts)});
@@ -85,11 +85,11 @@
   return table;
 }
 
-query::Sheet shardsTable(config::Configuration const& configuration) {
-  query::Sheet table{"shards", {"search", "service", "cut"}, {}};
+query::Table shardsTable(config::Configuration const& configuration) {
+  query::Table table{"shards", {"search", "service", "cut"}, {}};
   for (config::Search const& search : configuration.searches) {
     for (config::Shard const& shard : search.shards) {
-      table.rows.push_back({search.name, shard.service, shard.cut});
+      table.rows.push_back({search.name, shard.service, shard.partition});
     }
   }
   return table;
@@ -113,7 +113,7 @@
   return "unknown";
 }
 
-std::string GatewayServer::Impl::whyNotReady(Clock::time_point now) const {
+std::string GatewayServer::Impl::notReadyReason(Clock::time_point now) const {
   distribution::DeliveryStatus const status = delivery.status(now);
   if (draining) {
     return "draining";
@@ -125,10 +125,10 @@
   if (unreadable) {
     return "configuration unreadable";
   }
-  if (plane.snapshot() == nullptr) {
+  if (requestManager.snapshot() == nullptr) {
     return "no configuration yet";
   }
-  if (plane.snapshot()->configuration.evacuatedZones.contains(settings.zone)) {
+  if (requestManager.snapshot()->configuration.evacuatedZones.contains(settings.zone)) {
     return "zone evacuated";
   }
   for (std::string const& service : services) {
@@ -140,7 +140,7 @@
 }
 
 net::Answer GatewayServer::Impl::readinessPage() const {
-  std::string const why = whyNotReady(Clock::now());
+  std::string const why = notReadyReason(Clock::now());
   return control::plain(why.empty() ? 200 : 503, std::string("{\"ready\":") + (why.empty() ? "true" : "false") +
                                                      ",\"reason\":" + json(why) + ",\"node\":" + json(settings.node) +
                                                      "}");
@@ -152,7 +152,7 @@
       freshness != distribution::ConfigFreshness::confirmedByMajority) {
     return control::plain(503, "{\"reason\":\"configuration " + nameOf(freshness) + "\"}");
   }
-  config::SnapshotPtr const snapshot = plane.snapshot();
+  config::SnapshotPtr const snapshot = requestManager.snapshot();
   net::Answer answer = control::plain(200, snapshot == nullptr ? "{}" : snapshot->text);
   answer.headers.emplace_back("limeramp-version", (snapshot == nullptr ? config::Version{} : snapshot->version).text());
   return answer;
@@ -161,7 +161,7 @@
 net::Answer GatewayServer::Impl::statusPage() const {
   Clock::time_point const now = Clock::now();
   distribution::DeliveryStatus const status = delivery.status(now);
-  std::string const why = whyNotReady(now);
+  std::string const why = notReadyReason(now);
   messages::State const state = delivery.state().value_or(messages::State{});
   std::string body =
       "{\"node\":" + json(settings.node) + ",\"role\":\"gateway\",\"zone\":" + json(settings.zone) +
@@ -169,16 +169,16 @@
       ",\"standing\":" + json(nameOf(status.freshness)) +
       ",\"age_ms\":" + (status.ageMs == Ms::max() ? "null" : std::to_string(status.ageMs.count())) +
       ",\"state\":" + json(config::Version{state.epoch, state.sequence}.text()) +
-      ",\"versions_behind\":" + std::to_string(status.versionsBehind) +
-      ",\"version\":" + json((plane.snapshot() == nullptr ? config::Version{} : plane.snapshot()->version).text()) +
+      ",\"versions_behind\":" + std::to_string(status.versionsBehind) + ",\"version\":" +
+      json((requestManager.snapshot() == nullptr ? config::Version{} : requestManager.snapshot()->version).text()) +
       ",\"primary_address\":" + json(delivery.primaryAddress()) + ",\"roster\":" + std::to_string(state.roster.size()) +
-      ",\"requests\":" + std::to_string(plane.requests()) + ",\"peers\":[";
-  body += listOf(views.peers(now), peerJson) + "],\"servers\":[" + listOf(plane.servers(now), serverJson);
+      ",\"requests\":" + std::to_string(requestManager.requests()) + ",\"peers\":[";
+  body += listOf(views.peers(now), peerJson) + "],\"servers\":[" + listOf(requestManager.servers(now), serverJson);
   return control::plain(200, body + "]}");
 }
 
 net::Answer GatewayServer::Impl::metricsPage() const {
-  dispatch::Counters const counters = plane.counters();
+  dispatch::Counters const counters = requestManager.counters();
   std::string body;
   for (std::pair<char const*, std::uint64_t> const& entry :
        {std::pair<char const*, std::uint64_t>("arrivals_total", counters.arrivals),
@@ -192,19 +192,19 @@
     body += std::string("# TYPE limeramp_") + entry.first + " counter\nlimeramp_" + entry.first + " " +
             std::to_string(entry.second) + "\n";
   }
-  body += "# TYPE limeramp_requests gauge\nlimeramp_requests " + std::to_string(plane.requests()) + "\n";
+  body += "# TYPE limeramp_requests gauge\nlimeramp_requests " + std::to_string(requestManager.requests()) + "\n";
   body += std::string("# TYPE limeramp_ready gauge\nlimeramp_ready ") +
-          (whyNotReady(Clock::now()).empty() ? "1" : "0") + "\n";
+          (notReadyReason(Clock::now()).empty() ? "1" : "0") + "\n";
   return {200, {{"content-type", "text/plain; version=0.0.4"}}, body};
 }
 
-std::vector<query::Sheet> GatewayServer::Impl::tables() const {
+std::vector<query::Table> GatewayServer::Impl::tables() const {
   Clock::time_point const now = Clock::now();
   std::vector<messages::Peer> const peers = views.peers(now);
-  config::SnapshotPtr const snapshot = plane.snapshot();
+  config::SnapshotPtr const snapshot = requestManager.snapshot();
   config::Configuration const configuration = snapshot == nullptr ? config::Configuration{} : snapshot->configuration;
   return {nodesTable(delivery.state().value_or(messages::State{}), peers, settings.node), controllersTable(peers),
-          serversTable(plane.servers(now)), entriesTable(configuration), shardsTable(configuration)};
+          serversTable(requestManager.servers(now)), entriesTable(configuration), shardsTable(configuration)};
 }
 
 }  // namespace limeramp::gateway
--- a/libs/messages/include/limeramp/messages/messages.h
+++ b/libs/messages/include/limeramp/messages/messages.h
@@ -458,13 +458,13 @@
   static constexpr char const* name = "Table";
   std::string service;
   std::uint64_t digest = 0;
-  bool whole = false;
+  bool complete = false;
   std::vector<TableRow> rows;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
     visit("service", self.service);
     visit("digest", self.digest);
-    visit("whole", self.whole);
+    visit("whole", self.complete);
     visit("rows", self.rows);
   }
 };
--- a/libs/net/include/limeramp/net/http.h
+++ b/libs/net/include/limeramp/net/http.h
@@ -60,14 +60,14 @@
 
 using Responder = std::function<void(Answer)>;
 
-struct RunHere {};
+struct RunOnCallerThread {};
 
 class Network {
  public:
   using TimerId = std::uint64_t;
 
   Network();
-  explicit Network(RunHere);
+  explicit Network(RunOnCallerThread);
   ~Network();
   Network(Network const&) = delete;
   Network& operator=(Network const&) = delete;
@@ -146,8 +146,8 @@
   std::chrono::milliseconds userTimeoutMs{3'000};
 };
 
-struct Allowance {
-  std::size_t most = 0;
+struct ConnectionLimit {
+  std::size_t maximum = 0;
   std::chrono::milliseconds idleMs{2'000};
 };
 
@@ -175,7 +175,7 @@
   void begin(std::uint64_t attempt, Address const& server, Request request,
              std::chrono::steady_clock::time_point deadline, Done done);
   void cancel(std::uint64_t attempt);
-  void allow(Address const& server, Allowance const& allowance);
+  void allow(Address const& server, ConnectionLimit const& connectionLimit);
   ClientCounters counters() const;
 
  private:
--- a/libs/net/include/limeramp/net/peer_sender.h
+++ b/libs/net/include/limeramp/net/peer_sender.h
@@ -7,12 +7,12 @@
 
 namespace limeramp::net {
 
-class Mail {
+class PeerSender {
  public:
-  Mail(Network& network, std::string const& from);
-  ~Mail();
-  Mail(Mail const&) = delete;
-  Mail& operator=(Mail const&) = delete;
+  PeerSender(Network& network, std::string const& from);
+  ~PeerSender();
+  PeerSender(PeerSender const&) = delete;
+  PeerSender& operator=(PeerSender const&) = delete;
 
   void send(std::string const& address, std::string body);
 
--- a/libs/net/include/limeramp/net/random.h
+++ b/libs/net/include/limeramp/net/random.h
@@ -5,6 +5,6 @@
 
 namespace limeramp::net {
 
-std::uint64_t randomWord();
+std::uint64_t randomUint64();
 
 }  // namespace limeramp::net
--- a/libs/net/src/answer_reader.cpp
+++ b/libs/net/src/answer_reader.cpp
@@ -71,12 +71,12 @@
   clean_ = false;
 }
 
-AnswerReader::Progress AnswerReader::take(std::string_view fresh) {
+AnswerReader::Progress AnswerReader::take(std::string_view received) {
   bool const joins = !unread_.empty();
   if (joins) {
-    unread_.append(fresh);
+    unread_.append(received);
   }
-  std::string_view bytes = joins ? std::string_view(unread_) : fresh;
+  std::string_view bytes = joins ? std::string_view(unread_) : received;
   Progress progress = Progress::partial;
   for (;;) {
     std::size_t used = 0;
--- a/libs/net/src/answer_reader.h
+++ b/libs/net/src/answer_reader.h
@@ -19,7 +19,7 @@
   /// Forgets the last answer and expects the one to `request`, which must outlive it.
   void expect(Request const& request, std::size_t maxBodyBytes);
 
-  Progress take(std::string_view fresh);
+  Progress take(std::string_view received);
   /// The connection ended in order. Whether that is the end of the answer.
   bool endsHere();
 
--- a/libs/net/src/client.cpp
+++ b/libs/net/src/client.cpp
@@ -14,7 +14,7 @@
 
 HttpClient::Impl::Impl(std::shared_ptr<Network::Impl> const& networkIn, ClientBounds const& boundsIn)
     : network(*networkIn),
-      life(networkIn),
+      networkAlive(networkIn),
       bounds(boundsIn),
       sweep(network, sweepMs, [this](TimePoint now) { return expire(now); }) {}
 
@@ -117,7 +117,7 @@
 }
 
 HttpClient::~HttpClient() {
-  runOn(impl_->life, [impl = impl_] { impl->end(); });
+  runOn(impl_->networkAlive, [impl = impl_] { impl->end(); });
 }
 
 void HttpClient::begin(std::uint64_t attempt, Address const& server, Request request, Clock::time_point deadline,
@@ -127,21 +127,21 @@
   made->request = std::move(request);
   made->deadline = deadline;
   made->done = std::move(done);
-  runOn(impl_->life, [impl = impl_, server, made] { impl->begin(server, made); });
+  runOn(impl_->networkAlive, [impl = impl_, server, made] { impl->begin(server, made); });
 }
 
 void HttpClient::cancel(std::uint64_t attempt) {
-  runOn(impl_->life, [impl = impl_, attempt] { impl->cancel(attempt); });
+  runOn(impl_->networkAlive, [impl = impl_, attempt] { impl->cancel(attempt); });
 }
 
-void HttpClient::allow(Address const& server, Allowance const& allowance) {
-  runOn(impl_->life, [impl = impl_, server, allowance] {
+void HttpClient::allow(Address const& server, ConnectionLimit const& connectionLimit) {
+  runOn(impl_->networkAlive, [impl = impl_, server, connectionLimit] {
     if (impl->allowances.size() >= maxAllowances) {
       impl->allowances.clear();
     }
-    impl->allowances[server.text()] = allowance;
+    impl->allowances[server.text()] = connectionLimit;
     Impl::Pool& pool = impl->poolOf(server);
-    pool.allowance = allowance;
+    pool.connectionLimit = connectionLimit;
     impl->serveWaiting(pool);
   });
 }
@@ -149,7 +149,7 @@
 ClientCounters HttpClient::counters() const {
   ClientCounters out;
   std::unique_lock<std::mutex> const lock(impl_->countersMutex);
-  out.all = impl_->mayShutDown;
+  out.all = impl_->closedConnections;
   for (std::pair<std::string const, std::unique_ptr<Impl::Pool>> const& entry : impl_->pools) {
     ServerCounters const& one = entry.second->counters;
     out.servers[entry.first] = one;
--- a/libs/net/src/client_exchange.cpp
+++ b/libs/net/src/client_exchange.cpp
@@ -111,9 +111,9 @@
     hungUp(connection, error);
     return;
   }
-  std::string_view fresh(connection->landing.data(), bytes);
+  std::string_view received(connection->landing.data(), bytes);
   bool more = bytes == connection->landing.size();
-  for (std::size_t reads = 0; take(connection, fresh) && more && reads < readsAtOnce; ++reads) {
+  for (std::size_t reads = 0; take(connection, received) && more && reads < readsAtOnce; ++reads) {
     boost::system::error_code failure;
     std::size_t const got = connection->socket.read_some(asio::buffer(network.landing), failure);
     if (wouldBlock(failure)) {
@@ -123,7 +123,7 @@
       hungUp(connection, failure);
       return;
     }
-    fresh = std::string_view(network.landing.data(), got);
+    received = std::string_view(network.landing.data(), got);
     more = got == network.landing.size();
   }
   read(connection);
@@ -143,8 +143,8 @@
 }
 
 /// Returns whether more bytes of the answer are awaited.
-bool HttpClient::Impl::take(ConnectionPtr const& connection, std::string_view fresh) {
-  switch (connection->reader.take(fresh)) {
+bool HttpClient::Impl::take(ConnectionPtr const& connection, std::string_view received) {
+  switch (connection->reader.take(received)) {
     case AnswerReader::Progress::partial:
       return true;
     case AnswerReader::Progress::whole:
--- a/libs/net/src/client_impl.h
+++ b/libs/net/src/client_impl.h
@@ -38,32 +38,32 @@
   struct Pool {
     std::string name;
     Address server;
-    Allowance allowance;
+    ConnectionLimit connectionLimit;
     std::size_t open = 0;
     std::deque<Connection*> idle;
     std::deque<AttemptPtr> waiting;
     ServerCounters counters;
 
-    bool mayOpen() const { return allowance.most == 0 || open < allowance.most; }
+    bool mayOpen() const { return connectionLimit.maximum == 0 || open < connectionLimit.maximum; }
   };
 
   Impl(std::shared_ptr<Network::Impl> const& networkIn, ClientBounds const& boundsIn);
 
   Network::Impl& network;
-  std::weak_ptr<Network::Impl> life;
+  std::weak_ptr<Network::Impl> networkAlive;
   ClientBounds bounds;
   std::weak_ptr<Impl> self;
   std::unordered_map<std::string, std::unique_ptr<Pool>> pools;
   std::unordered_map<std::uint64_t, AttemptPtr> attempts;
   ConnectionSet<Connection> connections;
-  std::map<std::string, Allowance> allowances;
+  std::map<std::string, ConnectionLimit> allowances;
   std::size_t waiting = 0;
   /// Over zero while callers are inside begin() or cancel(), which never call back from within.
   std::size_t beginning = 0;
   bool ending = false;
   DeadlineSweep sweep;
   mutable std::mutex countersMutex;
-  ServerCounters mayShutDown;
+  ServerCounters closedConnections;
 
   // connection_pool.cpp
   Pool& poolOf(Address const& server);
@@ -84,7 +84,7 @@
   void read(ConnectionPtr const& connection);
   void received(ConnectionPtr const& connection, boost::system::error_code const& error, std::size_t bytes);
   void hungUp(ConnectionPtr const& connection, boost::system::error_code const& error);
-  bool take(ConnectionPtr const& connection, std::string_view fresh);
+  bool take(ConnectionPtr const& connection, std::string_view received);
   void answered(ConnectionPtr const& connection);
   void fail(ConnectionPtr const& connection, std::string const& reason, bool refused = false);
 
--- a/libs/net/src/connection_pool.cpp
+++ b/libs/net/src/connection_pool.cpp
@@ -18,12 +18,12 @@
     return *found->second;
   }
   prunePools();
-  std::map<std::string, Allowance>::const_iterator const known = allowances.find(name);
+  std::map<std::string, ConnectionLimit>::const_iterator const known = allowances.find(name);
   std::unique_ptr<Pool> pool = std::make_unique<Pool>();
   pool->name = name;
   pool->server = server;
-  pool->allowance =
-      known == allowances.end() ? Allowance{bounds.maxConnectionsPerServer, bounds.idleMs} : known->second;
+  pool->connectionLimit =
+      known == allowances.end() ? ConnectionLimit{bounds.maxConnectionsPerServer, bounds.idleMs} : known->second;
   std::unique_lock<std::mutex> const lock(countersMutex);
   return *pools.emplace(std::move(name), std::move(pool)).first->second;
 }
@@ -36,8 +36,8 @@
   std::erase_if(pools, [this](std::pair<std::string const, std::unique_ptr<Pool>> const& entry) {
     bool const unused = entry.second->open == 0 && entry.second->waiting.empty();
     if (unused) {
-      mayShutDown.opened += entry.second->counters.opened;
-      mayShutDown.reused += entry.second->counters.reused;
+      closedConnections.opened += entry.second->counters.opened;
+      closedConnections.reused += entry.second->counters.reused;
     }
     return unused;
   });
@@ -101,7 +101,7 @@
 }
 
 void HttpClient::Impl::park(ConnectionPtr const& connection) {
-  Ms idleMs = connection->pool->allowance.idleMs;
+  Ms idleMs = connection->pool->connectionLimit.idleMs;
   if (std::optional<Ms> const keepAliveMs = connection->reader.keepAliveMs()) {
     idleMs = std::min(idleMs, *keepAliveMs - keepAliveMarginMs);
   }
--- a/libs/net/src/network.cpp
+++ b/libs/net/src/network.cpp
@@ -67,7 +67,7 @@
   impl_->thread = std::thread([this] { impl_->context.run(); });
 }
 
-Network::Network(RunHere) : impl_(std::make_shared<Impl>()) {}
+Network::Network(RunOnCallerThread) : impl_(std::make_shared<Impl>()) {}
 
 Network::~Network() { stop(); }
 
--- a/libs/net/src/peer_sender.cpp
+++ b/libs/net/src/peer_sender.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-struct Mail::Impl {
+struct PeerSender::Impl {
   Impl(Network& network, std::string const& fromIn) : client(network, bounds()), from(fromIn) {}
 
   static ClientBounds bounds() {
@@ -32,10 +32,10 @@
   std::uint64_t last = 0;
 };
 
-Mail::Mail(Network& network, std::string const& from) : impl_(std::make_unique<Impl>(network, from)) {}
-Mail::~Mail() = default;
+PeerSender::PeerSender(Network& network, std::string const& from) : impl_(std::make_unique<Impl>(network, from)) {}
+PeerSender::~PeerSender() = default;
 
-void Mail::send(std::string const& address, std::string body) {
+void PeerSender::send(std::string const& address, std::string body) {
   std::optional<Address> const target = Address::parse(address);
   if (!target) {
     return;
--- a/libs/net/src/server.cpp
+++ b/libs/net/src/server.cpp
@@ -13,7 +13,7 @@
 
 HttpServer::Impl::Impl(std::shared_ptr<Network::Impl> const& networkIn, ServerOptions optionsIn, Handler handlerIn)
     : network(*networkIn),
-      life(networkIn),
+      networkAlive(networkIn),
       acceptor(networkIn->context),
       options(std::move(optionsIn)),
       handler(std::move(handlerIn)),
@@ -136,7 +136,7 @@
 
 void HttpServer::open() {
   std::shared_ptr<Impl> const impl = impl_;
-  runOn(impl->life, [impl] {
+  runOn(impl->networkAlive, [impl] {
     if (!std::exchange(impl->opened, true)) {
       impl->accept();
     }
@@ -148,14 +148,14 @@
 Address HttpServer::address() const { return impl_->address; }
 
 void HttpServer::setBounds(ServerBounds const& bounds) {
-  runOn(impl_->life, [impl = impl_, bounds] { impl->rebound(bounds); });
+  runOn(impl_->networkAlive, [impl = impl_, bounds] { impl->rebound(bounds); });
 }
 
 void HttpServer::drain() { impl_->draining = true; }
 
 void HttpServer::stopAccepting() {
   impl_->stopping = true;
-  runOn(impl_->life, [impl = impl_] {
+  runOn(impl_->networkAlive, [impl = impl_] {
     boost::system::error_code ignored;
     impl->acceptor.close(ignored);
     impl->closeIdle();
--- a/libs/net/src/server_connection.cpp
+++ b/libs/net/src/server_connection.cpp
@@ -30,7 +30,7 @@
   if (used.exchange(true)) {
     return;
   }
-  std::shared_ptr<Network::Impl> const loop = life.lock();
+  std::shared_ptr<Network::Impl> const loop = networkAlive.lock();
   if (loop == nullptr) {
     return;
   }
@@ -162,12 +162,12 @@
   }
 }
 
-void HttpServer::Impl::pump(ConnectionPtr const& connection, std::string_view fresh) {
+void HttpServer::Impl::pump(ConnectionPtr const& connection, std::string_view received) {
   bool const own = !connection->input.empty();
   if (own) {
-    connection->input.append(fresh);
+    connection->input.append(received);
   }
-  std::string_view bytes = own ? std::string_view(connection->input) : fresh;
+  std::string_view bytes = own ? std::string_view(connection->input) : received;
   connection->pumping = true;
   while (!bytes.empty() && (connection->phase == ServerPhase::idle || connection->phase == ServerPhase::reading)) {
     std::size_t used = 0;
--- a/libs/net/src/server_impl.h
+++ b/libs/net/src/server_impl.h
@@ -23,7 +23,7 @@
   Impl(std::shared_ptr<Network::Impl> const& networkIn, ServerOptions optionsIn, Handler handlerIn);
 
   Network::Impl& network;
-  std::weak_ptr<Network::Impl> life;
+  std::weak_ptr<Network::Impl> networkAlive;
   asio::ip::tcp::acceptor acceptor;
   bool opened = false;
   ServerOptions options;
@@ -54,7 +54,7 @@
   void read(ConnectionPtr const& connection);
   void received(ConnectionPtr const& connection, boost::system::error_code const& error, std::size_t bytes);
   void take(ConnectionPtr const& connection, std::string_view bytes);
-  void pump(ConnectionPtr const& connection, std::string_view fresh);
+  void pump(ConnectionPtr const& connection, std::string_view received);
   bool advance(ConnectionPtr const& connection, std::string_view bytes, std::size_t& used);
   bool beginRequest(ConnectionPtr const& connection, std::string_view bytes, std::size_t& used);
   void tellToContinue(ConnectionPtr const& connection);
@@ -105,7 +105,7 @@
 /// The right to answer one request, once. If it is dropped unused, the connection is closed.
 struct HttpServer::Impl::Ticket {
   Ticket(ConnectionPtr const& connectionIn, std::uint64_t tokenIn)
-      : connection(connectionIn), life(connectionIn->server->life), token(tokenIn) {}
+      : connection(connectionIn), networkAlive(connectionIn->server->networkAlive), token(tokenIn) {}
   Ticket(Ticket const&) = delete;
   Ticket& operator=(Ticket const&) = delete;
   ~Ticket() { give(std::nullopt); }
@@ -114,7 +114,7 @@
   static void hand(std::weak_ptr<Connection> const& to, std::uint64_t number, std::optional<Answer> answer);
 
   std::weak_ptr<Connection> connection;
-  std::weak_ptr<Network::Impl> life;
+  std::weak_ptr<Network::Impl> networkAlive;
   std::uint64_t token;
   std::atomic<bool> used{false};
 };
--- a/libs/node/include/limeramp/node/peer_link.h
+++ b/libs/node/include/limeramp/node/peer_link.h
@@ -28,7 +28,7 @@
   static std::optional<messages::PeerMessage> open(std::string const& fleet, std::string const& envelope);
 
  private:
-  net::Mail mail_;
+  net::PeerSender sender_;
   std::string node_;
   std::string address_;
 };
--- a/libs/node/src/peer_link.cpp
+++ b/libs/node/src/peer_link.cpp
@@ -5,10 +5,10 @@
 namespace limeramp::node {
 
 PeerLink::PeerLink(net::Network& network, std::string const& node, std::string const& address)
-    : mail_(network, address), node_(node), address_(address) {}
+    : sender_(network, address), node_(node), address_(address) {}
 
 void PeerLink::send(std::string const& fleet, std::string const& address, messages::Message message) {
-  mail_.send(address, messages::encodeEnvelope({fleet, node_, address_, std::move(message)}));
+  sender_.send(address, messages::encodeEnvelope({fleet, node_, address_, std::move(message)}));
 }
 
 void PeerLink::sendAll(std::string const& fleet, std::vector<distribution::Outgoing> const& sends) {
--- a/libs/query/include/limeramp/query/query_engine.h
+++ b/libs/query/include/limeramp/query/query_engine.h
@@ -14,7 +14,7 @@
 
 using Cell = std::variant<std::int64_t, double, std::string>;
 
-struct Sheet {
+struct Table {
   std::string name;
   std::vector<std::string> columns;
   std::vector<std::vector<Cell>> rows;
@@ -28,17 +28,17 @@
   std::chrono::milliseconds waitMs{200};
 };
 
-absl::StatusOr<std::string> ask(std::vector<Sheet> const& sheets, std::string const& query, Bounds const& bounds = {});
+absl::StatusOr<std::string> ask(std::vector<Table> const& tables, std::string const& query, Bounds const& bounds = {});
 
-class Clerk {
+class QueryWorker {
  public:
   using Done = std::function<void(absl::StatusOr<std::string>)>;
-  Clerk();
-  ~Clerk();
-  Clerk(Clerk const&) = delete;
-  Clerk& operator=(Clerk const&) = delete;
+  QueryWorker();
+  ~QueryWorker();
+  QueryWorker(QueryWorker const&) = delete;
+  QueryWorker& operator=(QueryWorker const&) = delete;
 
-  bool ask(std::vector<Sheet> sheets, std::string query, Done done);
+  bool ask(std::vector<Table> tables, std::string query, Done done);
 
  private:
   struct Impl;
--- a/libs/query/src/query_engine.cpp
+++ b/libs/query/src/query_engine.cpp
@@ -38,32 +38,33 @@
   return statement;
 }
 
-absl::Status fill(sqlite3* base, Sheet const& sheet) {
+absl::Status fill(sqlite3* base, Table const& table) {
   std::string columns;
-  std::string marks;
-  for (std::string const& column : sheet.columns) {
+  std::string placeholders;
+  for (std::string const& column : table.columns) {
     columns += (columns.empty() ? "\"" : ",\"") + column + "\"";
-    marks += marks.empty() ? "?" : ",?";
+    placeholders += placeholders.empty() ? "?" : ",?";
   }
-  std::string const create = "CREATE TABLE \"" + sheet.name + "\"(" + columns + ")";
+  std::string const create = "CREATE TABLE \"" + table.name + "\"(" + columns + ")";
   if (sqlite3_exec(base, create.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) {
     return failure(base);
   }
-  absl::StatusOr<Statement> const insert = prepare(base, "INSERT INTO \"" + sheet.name + "\" VALUES(" + marks + ")");
+  absl::StatusOr<Statement> const insert =
+      prepare(base, "INSERT INTO \"" + table.name + "\" VALUES(" + placeholders + ")");
   if (!insert.ok()) {
     return insert.status();
   }
-  for (std::vector<Cell> const& row : sheet.rows) {
-    int place = 0;
+  for (std::vector<Cell> const& row : table.rows) {
+    int columnIndex = 0;
     for (Cell const& cell : row) {
-      ++place;
-      if (std::int64_t const* const whole = std::get_if<std::int64_t>(&cell)) {
-        sqlite3_bind_int64(insert->get(), place, *whole);
+      ++columnIndex;
+      if (std::int64_t const* const integer = std::get_if<std::int64_t>(&cell)) {
+        sqlite3_bind_int64(insert->get(), columnIndex, *integer);
       } else if (double const* const number = std::get_if<double>(&cell)) {
-        sqlite3_bind_double(insert->get(), place, *number);
+        sqlite3_bind_double(insert->get(), columnIndex, *number);
       } else {
         std::string const& text = std::get<std::string>(cell);
-        sqlite3_bind_text(insert->get(), place, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
+        sqlite3_bind_text(insert->get(), columnIndex, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
       }
     }
     if (sqlite3_step(insert->get()) != SQLITE_DONE) {
@@ -100,7 +101,7 @@
 
 }  // namespace
 
-absl::StatusOr<std::string> ask(std::vector<Sheet> const& sheets, std::string const& query, Bounds const& bounds) {
+absl::StatusOr<std::string> ask(std::vector<Table> const& tables, std::string const& query, Bounds const& bounds) {
   if (query.size() > bounds.maxQueryBytes) {
     return absl::InvalidArgumentError("longer than " + std::to_string(bounds.maxQueryBytes) + " bytes");
   }
@@ -118,8 +119,8 @@
   std::string const pages =
       "PRAGMA max_page_count=" + std::to_string(bounds.maxMemoryBytes / 4096) + ";PRAGMA temp_store=MEMORY";
   sqlite3_exec(base.get(), pages.c_str(), nullptr, nullptr, nullptr);
-  for (Sheet const& sheet : sheets) {
-    absl::Status const filled = fill(base.get(), sheet);
+  for (Table const& table : tables) {
+    absl::Status const filled = fill(base.get(), table);
     if (!filled.ok()) {
       return filled;
     }
@@ -165,9 +166,9 @@
   return out + "],\"more\":" + (more ? "true" : "false") + "}";
 }
 
-struct Clerk::Impl {
+struct QueryWorker::Impl {
   struct OperatorCall {
-    std::vector<Sheet> sheets;
+    std::vector<Table> tables;
     std::string query;
     Done done;
   };
@@ -175,21 +176,21 @@
   std::thread thread;
 };
 
-Clerk::Clerk() : impl_(std::make_unique<Impl>()) {
+QueryWorker::QueryWorker() : impl_(std::make_unique<Impl>()) {
   impl_->thread = std::thread([this] {
     while (std::optional<Impl::OperatorCall> call = impl_->ring.pop()) {
-      call->done(query::ask(call->sheets, call->query));
+      call->done(query::ask(call->tables, call->query));
     }
   });
 }
 
-Clerk::~Clerk() {
+QueryWorker::~QueryWorker() {
   impl_->ring.close();
   impl_->thread.join();
 }
 
-bool Clerk::ask(std::vector<Sheet> sheets, std::string query, Done done) {
-  return impl_->ring.tryPush({std::move(sheets), std::move(query), std::move(done)});
+bool QueryWorker::ask(std::vector<Table> tables, std::string query, Done done) {
+  return impl_->ring.tryPush({std::move(tables), std::move(query), std::move(done)});
 }
 
 }  // namespace limeramp::query
--- a/programs/limerampctl.cpp
+++ b/programs/limerampctl.cpp
@@ -34,7 +34,7 @@
 4 the version is no longer current, 5 not carried out, 6 not known (ask again with the same --change).
 )";
 
-char const* const forgetWarning =
+char const* const removeNodesWarning =
     "limerampctl: these nodes are then counted as dead. If one of them lives on, cut off from here together with "
     "others,\n"
     "limerampctl: it may serve callers under an old configuration for as long as the cut lasts. Say --yes if they are "
@@ -196,7 +196,7 @@
     net::Request request;
     std::string change;
     if ((verb == "forget" || forcedGroups) && flags.count("yes") == 0) {
-      std::cerr << (forcedGroups ? forceNewGroupWarning : forgetWarning);
+      std::cerr << (forcedGroups ? forceNewGroupWarning : removeNodesWarning);
       return Exit::usage;
     }
     if (forcedGroups) {
@@ -222,9 +222,9 @@
     request.body += verb == "forget" ? "]}" : "";
     if (sends) {
       std::random_device source;
-      char fresh[24];
-      std::snprintf(fresh, sizeof fresh, "%08x%08x", source(), source());
-      change = flags.count("change") > 0 ? flags["change"].as<std::string>() : fresh;
+      char generated[24];
+      std::snprintf(generated, sizeof generated, "%08x%08x", source(), source());
+      change = flags.count("change") > 0 ? flags["change"].as<std::string>() : generated;
       request.method = verb == "put" ? "PUT" : verb == "patch" ? "PATCH" : "POST";
       request.target = verb == "forget" ? "/limeramp/forget" : "/limeramp/configuration";
       request.headers = {{"content-type", "application/json"},
--- a/programs/trace.cpp
+++ b/programs/trace.cpp
@@ -29,28 +29,28 @@
 2 wrong usage.
 )";
 
-struct Sight {
+struct NodeView {
   std::string node;
   std::string role;
   std::string zone;
-  bool heard = false;
+  bool answered = false;
   bool replica = true;
   bool ready = false;
-  std::string standing;
+  std::string freshness;
   config::Version version;
   std::optional<Clock::time_point> stored;
   std::optional<Clock::time_point> inForce;
-  Clock::time_point lastHeard{};
+  Clock::time_point lastAnsweredAt{};
   bool pending = false;
 };
 
 struct Watch {
   std::mutex mutex;
   std::condition_variable changed;
-  std::map<std::string, Sight> nodes;
+  std::map<std::string, NodeView> nodes;
   std::optional<config::Version> want;
   bool next = false;
-  bool settled = false;
+  bool baselineKnown = false;
   config::Version newest;
 };
 
@@ -60,26 +60,26 @@
 
 void readStatus(Watch& watch, std::string const& address, picojson::value const& body) {
   Clock::time_point const now = Clock::now();
-  Sight& sight = watch.nodes[address];
-  sight.node = textOf(body, "node");
-  sight.role = textOf(body, "role");
-  sight.zone = textOf(body, "zone");
-  sight.standing = textOf(body, "standing");
-  sight.heard = true;
-  sight.lastHeard = now;
-  sight.ready = body.contains("ready") && body.get("ready").evaluate_as_boolean();
-  sight.version = config::Version::parse(textOf(body, "version")).value_or(config::Version{});
-  sight.replica = sight.role == "gateway" || (body.contains("replica") && body.get("replica").evaluate_as_boolean());
-  if (!watch.settled) {
-    watch.newest = std::max(watch.newest, sight.version);
-  } else if (watch.next && !watch.want && sight.version > watch.newest) {
-    watch.want = sight.version;
+  NodeView& node = watch.nodes[address];
+  node.node = textOf(body, "node");
+  node.role = textOf(body, "role");
+  node.zone = textOf(body, "zone");
+  node.freshness = textOf(body, "standing");
+  node.answered = true;
+  node.lastAnsweredAt = now;
+  node.ready = body.contains("ready") && body.get("ready").evaluate_as_boolean();
+  node.version = config::Version::parse(textOf(body, "version")).value_or(config::Version{});
+  node.replica = node.role == "gateway" || (body.contains("replica") && body.get("replica").evaluate_as_boolean());
+  if (!watch.baselineKnown) {
+    watch.newest = std::max(watch.newest, node.version);
+  } else if (watch.next && !watch.want && node.version > watch.newest) {
+    watch.want = node.version;
   }
-  if (watch.want && sight.version >= *watch.want) {
-    sight.stored = sight.stored.value_or(now);
-    bool const serves = sight.role != "gateway" || sight.standing == "current" || sight.standing == "upheld";
+  if (watch.want && node.version >= *watch.want) {
+    node.stored = node.stored.value_or(now);
+    bool const serves = node.role != "gateway" || node.freshness == "current" || node.freshness == "upheld";
     if (serves) {
-      sight.inForce = sight.inForce.value_or(now);
+      node.inForce = node.inForce.value_or(now);
     }
   }
   for (char const* const list : {"peers", "nodes"}) {
@@ -89,11 +89,11 @@
     for (picojson::value const& peer : body.get(list).get<picojson::array>()) {
       std::string const other = textOf(peer, "address");
       if (net::Address::parse(other) && watch.nodes.size() < 2000 && !watch.nodes.contains(other)) {
-        Sight fresh;
-        fresh.node = textOf(peer, "node");
-        fresh.role = textOf(peer, "role");
-        fresh.zone = textOf(peer, "zone");
-        watch.nodes.emplace(other, fresh);
+        NodeView discovered;
+        discovered.node = textOf(peer, "node");
+        discovered.role = textOf(peer, "role");
+        discovered.zone = textOf(peer, "zone");
+        watch.nodes.emplace(other, discovered);
       }
     }
   }
@@ -126,7 +126,7 @@
           std::cerr << "limeramp-trace: '" << text << "' must be an IP number and a port\n";
           return 2;
         }
-        watch.nodes.emplace(text, Sight{});
+        watch.nodes.emplace(text, NodeView{});
       }
     }
     long const waitMs = flags["wait-ms"].as<long>();
@@ -148,7 +148,7 @@
     bool done = false;
     for (Clock::time_point round = start; !done && round < start + Ms(waitMs); round += Ms(everyMs)) {
       std::vector<std::string> due;
-      for (std::pair<std::string const, Sight>& entry : watch.nodes) {
+      for (std::pair<std::string const, NodeView>& entry : watch.nodes) {
         if (!entry.second.pending && !entry.second.inForce) {
           entry.second.pending = true;
           due.push_back(entry.first);
@@ -170,15 +170,15 @@
                      });
       }
       watch.changed.wait_until(lock, round + Ms(everyMs), [] { return false; });
-      if (!watch.settled && Clock::now() - start > Ms(500)) {
-        watch.settled = true;
+      if (!watch.baselineKnown && Clock::now() - start > Ms(500)) {
+        watch.baselineKnown = true;
         if (!watch.next && !watch.want) {
           watch.want = watch.newest;
         }
       }
       bool const all =
-          std::all_of(watch.nodes.begin(), watch.nodes.end(), [](std::pair<std::string const, Sight> const& entry) {
-            return entry.second.inForce.has_value() || (entry.second.heard && !entry.second.replica);
+          std::all_of(watch.nodes.begin(), watch.nodes.end(), [](std::pair<std::string const, NodeView> const& entry) {
+            return entry.second.inForce.has_value() || (entry.second.answered && !entry.second.replica);
           });
       done = watch.want && all && Clock::now() - start > Ms(1000);
     }
@@ -189,7 +189,7 @@
       return 1;
     }
     std::optional<Clock::time_point> first;
-    for (std::pair<std::string const, Sight> const& entry : watch.nodes) {
+    for (std::pair<std::string const, NodeView> const& entry : watch.nodes) {
       if (entry.second.stored && (!first || *entry.second.stored < *first)) {
         first = entry.second.stored;
       }
@@ -201,24 +201,24 @@
     long worst = 0;
     std::size_t lagging = 0;
     std::size_t silent = 0;
-    for (std::pair<std::string const, Sight> const& entry : watch.nodes) {
-      Sight const& sight = entry.second;
+    for (std::pair<std::string const, NodeView> const& entry : watch.nodes) {
+      NodeView const& node = entry.second;
       std::function<std::string(std::optional<Clock::time_point> const&)> const since =
           [&](std::optional<Clock::time_point> const& at) {
             return at ? std::to_string(std::chrono::duration_cast<Ms>(*at - *first).count()) : std::string("-");
           };
-      bool const lags = sight.heard && sight.replica && !sight.inForce;
-      std::string const state = !sight.heard     ? "not heard"
-                                : !sight.replica ? "keeps no copy"
-                                : sight.inForce  ? "in force"
-                                                 : "at " + sight.version.text() + " " + sight.standing;
-      silent += sight.heard ? 0 : 1;
+      bool const lags = node.answered && node.replica && !node.inForce;
+      std::string const state = !node.answered  ? "not heard"
+                                : !node.replica ? "keeps no copy"
+                                : node.inForce  ? "in force"
+                                                : "at " + node.version.text() + " " + node.freshness;
+      silent += node.answered ? 0 : 1;
       lagging += lags ? 1 : 0;
-      if (sight.inForce) {
-        worst = std::max<long>(worst, std::chrono::duration_cast<Ms>(*sight.inForce - *first).count());
+      if (node.inForce) {
+        worst = std::max<long>(worst, std::chrono::duration_cast<Ms>(*node.inForce - *first).count());
       }
-      std::printf("%-22s %-14s %-14s %-6s %8s %9s  %s\n", entry.first.c_str(), sight.node.c_str(), sight.role.c_str(),
-                  sight.zone.c_str(), since(sight.stored).c_str(), since(sight.inForce).c_str(), state.c_str());
+      std::printf("%-22s %-14s %-14s %-6s %8s %9s  %s\n", entry.first.c_str(), node.node.c_str(), node.role.c_str(),
+                  node.zone.c_str(), since(node.stored).c_str(), since(node.inForce).c_str(), state.c_str());
     }
     std::printf("nodes %zu, lagging %zu, not heard %zu, last in force after %ld ms\n", watch.nodes.size(), lagging,
                 silent, worst);
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -30,15 +30,15 @@
 }
 
 /// A language that takes any text, so that documents may have any size.
-config::Language anyText() {
-  config::Language language = config::ownLanguage();
-  language.verbatim = true;
-  language.check = [](std::string const&) {
-    config::Checked out;
+config::ConfigSchema anyText() {
+  config::ConfigSchema schema = config::nativeConfigSchema();
+  schema.verbatim = true;
+  schema.check = [](std::string const&) {
+    config::CheckedConfiguration out;
     out.configuration.emplace();
     return out;
   };
-  return language;
+  return schema;
 }
 
 bool isTaken(FleetSimulation& fleet, std::optional<std::uint64_t> ticket) {
@@ -60,7 +60,7 @@
 }
 
 bool startServing(FleetSimulation& fleet, std::size_t gateways, std::string const& document) {
-  fleet.language = anyText();
+  fleet.schema = anyText();
   fleet.startAll();
   return retryUntilTaken(fleet, "first", document) && fleet.awaitServing(gateways, Ms(10'000));
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -16,7 +16,7 @@
 
 std::vector<Problem> problemsOf(std::string const& patch) {
   picojson::value const document = mergePatch(*parseJson(good), *parseJson(patch));
-  Checked const checked = checkConfiguration(document);
+  CheckedConfiguration const checked = checkConfiguration(document);
   EXPECT_EQ(checked.configuration.has_value(), checked.problems.empty());
   return checked.problems;
 }
@@ -45,7 +45,7 @@
 }
 
 TEST(Configuration, TakesTheGoodOneAndFindsTheLongestPrefix) {
-  Checked const checked = checkConfiguration(*parseJson(good));
+  CheckedConfiguration const checked = checkConfiguration(*parseJson(good));
   ASSERT_TRUE(checked.configuration.has_value());
   Configuration const& configuration = *checked.configuration;
   EXPECT_TRUE(std::holds_alternative<Search const*>(findTarget(configuration, "", "kelaniya", "/packages/zlib")));
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -148,9 +148,9 @@
 
 TEST(Revisions, ALanguageDecidesWhatIsStoredAndHowAChangeIsMerged) {
   FleetSimulation roads(62, 3, 2, 2);
-  roads.language.verbatim = true;
-  roads.language.check = [](std::string const& document) {
-    config::Checked out;
+  roads.schema.verbatim = true;
+  roads.schema.check = [](std::string const& document) {
+    config::CheckedConfiguration out;
     if (document.starts_with("#")) {
       out.configuration.emplace().revision = document.size();
     } else {
@@ -158,7 +158,7 @@
     }
     return out;
   };
-  roads.language.merge = [](std::string const& document, std::string const& patch) -> absl::StatusOr<std::string> {
+  roads.schema.merge = [](std::string const& document, std::string const& patch) -> absl::StatusOr<std::string> {
     return patch.empty() ? absl::StatusOr<std::string>(absl::InvalidArgumentError("nothing to add")) : document + patch;
   };
   roads.startAll();
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -14,7 +14,7 @@
 using Ms = std::chrono::milliseconds;
 
 struct Node {
-  std::optional<Desk> desk;
+  std::optional<ServerDirectory> directory;
   std::string address;
   bool up = true;
   bool readsList = true;
@@ -62,7 +62,7 @@
 
   void start(std::size_t index) {
     Node& node = nodes[index];
-    node.desk.emplace(DeskPolicy{}, "m" + std::to_string(index), node.address, "z1");
+    node.directory.emplace(ServerDirectoryOptions{}, "m" + std::to_string(index), node.address, "z1");
     node.up = true;
     node.readsSince = network.now();
     tick(index, ++lives[index]);
@@ -74,16 +74,16 @@
     if (!nodes[index].up || lives[index] != incarnation) {
       return;
     }
-    Around around;
-    around.services = services;
+    ZoneView zoneView;
+    zoneView.services = services;
     for (Node const& node : nodes) {
-      around.zoneAddresses.push_back(node.address);
+      zoneView.zoneAddresses.push_back(node.address);
     }
-    follow(index, nodes[index].desk->tick(network.now(), around));
+    follow(index, nodes[index].directory->tick(network.now(), zoneView));
     network.after(Ms(20), [this, index, incarnation] { tick(index, incarnation); });
   }
 
-  void follow(std::size_t index, DeskStep const& step) {
+  void follow(std::size_t index, DirectoryStep const& step) {
     changes += step.changed.size();
     for (distribution::Outgoing const& outgoing : step.sends) {
       for (std::size_t to = 0; to < nodes.size(); ++to) {
@@ -96,10 +96,10 @@
             return;
           }
           if (messages::TableRequest const* const poll = std::get_if<messages::TableRequest>(&message)) {
-            follow(to, nodes[to].desk->onMessage(network.now(), nodes[index].address, *poll));
+            follow(to, nodes[to].directory->onMessage(network.now(), nodes[index].address, *poll));
           } else {
-            follow(to, nodes[to].desk->onMessage(network.now(), nodes[index].address,
-                                                 std::get<messages::TableResponse>(message)));
+            follow(to, nodes[to].directory->onMessage(network.now(), nodes[index].address,
+                                                      std::get<messages::TableResponse>(message)));
           }
         });
       }
@@ -114,9 +114,9 @@
           return;
         }
         if (nodes[index].readsList && !overRate) {
-          follow(index, nodes[index].desk->listed(network.now(), pageOf(page)));
+          follow(index, nodes[index].directory->onListPage(network.now(), pageOf(page)));
         } else {
-          nodes[index].desk->listFailed(network.now(), overRate);
+          nodes[index].directory->listFailed(network.now(), overRate);
         }
       });
     }
@@ -162,7 +162,7 @@
     for (int round = 0; round < 150; ++round) {
       zone.run(Ms(20));
       for (std::size_t index = 0; index < 4; ++index) {
-        std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].desk->rows(zone.network.now(), "a");
+        std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].directory->rows(zone.network.now(), "a");
         if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].draining) {
           seen[index] = true;
           worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - shown));
@@ -187,7 +187,7 @@
     zone.services = {"a", "b"};
     zone.run(Ms(400));
     for (Node const& node : zone.nodes) {
-      EXPECT_EQ(node.desk->rows(zone.network.now(), "a").size(), 1u) << seed;
+      EXPECT_EQ(node.directory->rows(zone.network.now(), "a").size(), 1u) << seed;
     }
     EXPECT_LE(zone.reads, 10u) << seed;
   }
@@ -218,7 +218,7 @@
     for (int round = 0; round < 300; ++round) {
       zone.run(Ms(10));
       for (std::size_t index = 0; index < zone.nodes.size(); ++index) {
-        std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].desk->rows(zone.network.now(), "a");
+        std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].directory->rows(zone.network.now(), "a");
         if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].draining) {
           seen[index] = true;
           worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - shown));
@@ -243,15 +243,15 @@
     zone.put("b", rowAt("t"));
     zone.run(Ms(8000));
     for (Node const& node : zone.nodes) {
-      EXPECT_EQ(node.desk->rows(zone.network.now(), "a").size(), 5u);
-      EXPECT_EQ(node.desk->rows(zone.network.now(), "b").size(), 1u);
+      EXPECT_EQ(node.directory->rows(zone.network.now(), "a").size(), 5u);
+      EXPECT_EQ(node.directory->rows(zone.network.now(), "b").size(), 1u);
     }
     zone.list.services["a"].erase(zone.list.services["a"].begin());
     bool lost = false;
     bool gone = false;
     for (int round = 0; round < 400; ++round) {
       zone.run(Ms(20));
-      std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[0].desk->rows(zone.network.now(), "a");
+      std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[0].directory->rows(zone.network.now(), "a");
       lost = lost || rows.size() < 4;
       gone = rows.size() == 4 &&
              std::none_of(rows.begin(), rows.end(), [](dispatch::ServerEndpoint const& row) { return row.draining; });
@@ -274,26 +274,26 @@
   }
   EXPECT_EQ(zone.changes - before, 3u);
   for (Node const& node : zone.nodes) {
-    EXPECT_NEAR(static_cast<double>(node.desk->rows(zone.network.now(), "a")[0].warmupMs.count()), 1000, 150);
+    EXPECT_NEAR(static_cast<double>(node.directory->rows(zone.network.now(), "a")[0].warmupMs.count()), 1000, 150);
   }
   before = zone.changes;
   row.warmupMs = Ms(9000);
   zone.run(Ms(1000));
   EXPECT_GE(zone.changes - before, 3u);
   for (Node const& node : zone.nodes) {
-    EXPECT_GT(node.desk->rows(zone.network.now(), "a")[0].warmupMs, Ms(7900));
+    EXPECT_GT(node.directory->rows(zone.network.now(), "a")[0].warmupMs, Ms(7900));
   }
   row.warmupMs = Ms(0);
   zone.run(Ms(1000));
   for (Node const& node : zone.nodes) {
-    EXPECT_EQ(node.desk->rows(zone.network.now(), "a")[0].warmupMs, Ms(0));
+    EXPECT_EQ(node.directory->rows(zone.network.now(), "a")[0].warmupMs, Ms(0));
   }
-  EXPECT_GT(zone.nodes[0].desk->rows(zone.network.now(), "a")[0].ageMs, Ms(5000));
+  EXPECT_GT(zone.nodes[0].directory->rows(zone.network.now(), "a")[0].ageMs, Ms(5000));
   row.incarnation = "l2";
   zone.run(Ms(1500));
   for (Node const& node : zone.nodes) {
-    EXPECT_EQ(node.desk->rows(zone.network.now(), "a")[0].incarnation, "l2");
-    EXPECT_LT(node.desk->rows(zone.network.now(), "a")[0].ageMs, Ms(1600));
+    EXPECT_EQ(node.directory->rows(zone.network.now(), "a")[0].incarnation, "l2");
+    EXPECT_LT(node.directory->rows(zone.network.now(), "a")[0].ageMs, Ms(1600));
   }
 }
 
@@ -310,7 +310,7 @@
   zone.list.services["a"][0].draining = true;
   zone.run(Ms(3000));
   for (Node const& node : zone.nodes) {
-    EXPECT_TRUE(node.desk->rows(zone.network.now(), "a")[0].draining);
+    EXPECT_TRUE(node.directory->rows(zone.network.now(), "a")[0].draining);
   }
   zone.run(Ms(5000));
   zone.readAt.clear();
@@ -340,8 +340,8 @@
   zone.list.services["b"][0].capacity = 25;
   zone.run(Ms(3000));
   for (Node const& node : zone.nodes) {
-    EXPECT_TRUE(node.desk->rows(zone.network.now(), "a").empty());
-    std::vector<dispatch::ServerEndpoint> const rows = node.desk->rows(zone.network.now(), "b");
+    EXPECT_TRUE(node.directory->rows(zone.network.now(), "a").empty());
+    std::vector<dispatch::ServerEndpoint> const rows = node.directory->rows(zone.network.now(), "b");
     ASSERT_EQ(rows.size(), 2u);
     EXPECT_EQ(rows[0].zone, "z2");
     EXPECT_EQ(rows[0].capacity, 25);
@@ -364,7 +364,8 @@
     zone.start(index);
     zone.run(Ms(4000));
     for (std::string const service : {"a", "b"}) {
-      EXPECT_GT(zone.nodes[index].desk->rows(zone.network.now(), service)[0].ageMs, Ms(30'000)) << index << service;
+      EXPECT_GT(zone.nodes[index].directory->rows(zone.network.now(), service)[0].ageMs, Ms(30'000))
+          << index << service;
     }
   }
 }
@@ -375,9 +376,9 @@
   zone.run(Ms(3000));
   zone.list = List{};
   zone.run(Ms(8000));
-  EXPECT_EQ(zone.nodes[0].desk->rows(zone.network.now(), "a").size(), 1u);
+  EXPECT_EQ(zone.nodes[0].directory->rows(zone.network.now(), "a").size(), 1u);
   zone.run(Ms(6000));
-  EXPECT_TRUE(zone.nodes[0].desk->rows(zone.network.now(), "a").empty());
+  EXPECT_TRUE(zone.nodes[0].directory->rows(zone.network.now(), "a").empty());
 }
 
 }  // namespace
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -109,7 +109,7 @@
     for (std::uint64_t left = random() % 3; left > 0; --left) {
       spoil(random, value);
     }
-    config::Checked const checked = config::checkConfiguration(value);
+    config::CheckedConfiguration const checked = config::checkConfiguration(value);
     ASSERT_EQ(checked.configuration.has_value(), checked.problems.empty());
     for (config::Problem const& problem : checked.problems) {
       EXPECT_TRUE(problem.path.starts_with("/") || problem.path.empty()) << problem.path;
@@ -130,7 +130,7 @@
     }
     for (config::Route const& route : checked.configuration->routes) {
       ASSERT_FALSE(route.choices.empty());
-      for (config::Choice const& choice : route.choices) {
+      for (config::WeightedService const& choice : route.choices) {
         EXPECT_TRUE(checked.configuration->services.contains(choice.service));
       }
     }
@@ -249,7 +249,7 @@
       EXPECT_TRUE(net::Address::parse(checked.settings->listen).has_value());
       EXPECT_GE(checked.settings->seeds.size(), 1u);
       EXPECT_LE(checked.settings->seeds.size(), 3u);
-      EXPECT_GE(checked.settings->hands, 1u);
+      EXPECT_GE(checked.settings->workerThreads, 1u);
     }
   }
   EXPECT_GT(taken, 100u);
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -472,10 +472,10 @@
   std::unique_ptr<HttpServer> server;
 };
 
-TEST(Mail, GoesBackToBackOnOneConnection) {
+TEST(PeerSender, GoesBackToBackOnOneConnection) {
   Mailbox box;
   Network network;
-  Mail mail(network, "127.0.0.1:1");
+  PeerSender mail(network, "127.0.0.1:1");
   std::vector<std::string> sent;
   for (int number = 0; number < 20; ++number) {
     sent.push_back(numbered("parcel ", static_cast<long>(number)));
@@ -487,11 +487,11 @@
   EXPECT_EQ(std::count(box.peers.begin(), box.peers.end(), box.peers.front()), 20);
 }
 
-TEST(Mail, IsBoundedAndAFailingPeerHoldsNoOther) {
+TEST(PeerSender, IsBoundedAndAFailingPeerHoldsNoOther) {
   Mailbox silent(false);
   Mailbox box;
   Network network;
-  Mail mail(network, "127.0.0.1:1");
+  PeerSender mail(network, "127.0.0.1:1");
   for (int number = 0; number < 100; ++number) {
     mail.send(silent.server->address().text(), std::to_string(number));
     if (number % 10 == 0) {
--- /dev/null
+++ b/tests/native_protocol_adapter_test.cpp
@@ -0,0 +1,47 @@
+#include "limeramp/gateway/protocol_adapter.h"
+
+#include <gtest/gtest.h>
+
+namespace {
+
+using namespace limeramp;
+using retry::Verdict;
+
+TEST(NativeProtocolAdapter, TheListIsAskedForTheFollowingPage) {
+  gateway::ProtocolAdapter const own = gateway::nativeProtocolAdapter();
+  EXPECT_NE(own.listRequest("p-50").target, own.listRequest("").target);
+}
+
+TEST(NativeProtocolAdapter, AServerInAnotherLifeDidNotRunTheRequest) {
+  gateway::SubrequestContext context;
+  context.request = "a";
+  context.incarnation = "i-1";
+  gateway::ParsedAnswer const parsed =
+      gateway::nativeProtocolAdapter().readAnswer({421, {{"limeramp-verdict", "not_run"}}, ""}, context);
+  EXPECT_TRUE(parsed.finished.staleIncarnation);
+  EXPECT_FALSE(parsed.finished.good);
+  EXPECT_EQ(parsed.finished.verdict, Verdict::notRun);
+}
+
+TEST(NativeProtocolAdapter, AnAnswerMayNameItsRequestAndTheNameIsNotPassedOn) {
+  gateway::ProtocolAdapter const own = gateway::nativeProtocolAdapter();
+  gateway::SubrequestContext context;
+  context.request = "m01-1";
+  net::Request request;
+  own.writeAsk(request, context);
+  EXPECT_EQ(net::findHeader(request.headers, std::string(request.identity.requestHeader)), "m01-1");
+  EXPECT_EQ(request.identity.answerHeader, "limeramp-answers");
+  EXPECT_FALSE(request.identity.required);
+  net::Answer answer{200, {{"limeramp-answers", "m01-1"}}, ""};
+  own.writeForwarded(answer, "m01-1", "1.2");
+  EXPECT_FALSE(net::findHeader(answer.headers, "limeramp-answers").has_value());
+}
+
+TEST(NativeProtocolAdapter, ARouteOfAHostIsFoundWithThePortAndInAnyCase) {
+  gateway::ProtocolAdapter const own = gateway::nativeProtocolAdapter();
+  std::variant<gateway::Caller, gateway::Refusal> const read =
+      own.readCaller({"GET", "/", {{"limeramp-tenant", "t"}, {"host", "Logs.example:7000"}}, "", ""});
+  EXPECT_EQ(std::get<gateway::Caller>(read).host, "logs.example");
+}
+
+}  // namespace
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -48,7 +48,7 @@
 }
 
 TEST(Network, RunsOnItsOwnersThread) {
-  Network network{RunHere{}};
+  Network network{RunOnCallerThread{}};
   std::string error;
   std::thread::id const here = std::this_thread::get_id();
   std::vector<bool> there;
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -585,7 +585,7 @@
   for (std::uint64_t number = 1; number <= most + 2; ++number) {
     state = takenOn(state, keyed("c" + std::to_string(number), "{}"), 10 * number);
   }
-  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::ownLanguage());
+  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::nativeConfigSchema());
   std::function<control::OrderStatus(control::Change const&)> const verdictOf = [&](control::Change const& change) {
     control::Evaluation const evaluation = evaluator.evaluate(change, state, 3);
     control::Rejection const* const rejection = std::get_if<control::Rejection>(&evaluation);
@@ -605,7 +605,7 @@
 }
 
 TEST(Revision, ThatIsNamedAsBaseMustBeLeftBehind) {
-  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::ownLanguage());
+  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::nativeConfigSchema());
   messages::State state = takenOn({}, keyed("c", "{}"), 5);
   control::Change change = keyed("x", R"({"services":{"a":{}}})");
   EXPECT_TRUE(std::holds_alternative<control::NewState>(evaluator.evaluate(change, state, 3)));
@@ -616,7 +616,7 @@
 }
 
 TEST(ContentKey, DoesNotUndoALaterChangeNorClaimToBeInForce) {
-  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::ownLanguage());
+  control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::nativeConfigSchema());
   control::Change first = keyed("content of first", R"({"services":{"a":{}}})");
   first.keyedByContentOnly = true;
   messages::State state = takenOn({}, first, 0);
--- a/tests/foreign_test.cpp
+++ b/tests/protocol_adapter_test.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/gateway/request_plane.h"
+#include "limeramp/gateway/request_manager.h"
 
 #include <gtest/gtest.h>
 
@@ -26,33 +26,34 @@
   return out;
 }
 
-Heard readAnswer(net::Answer const& answer, Asked const& asked) {
-  Heard out;
-  if (findHeader(answer.headers, "x-id") != asked.request) {
+ParsedAnswer readAnswer(net::Answer const& answer, SubrequestContext const& context) {
+  ParsedAnswer out;
+  if (findHeader(answer.headers, "x-id") != context.request) {
     out.reason = "another request's";
     return out;
   }
   bool const notRun = findHeader(answer.headers, "x-unrun").has_value();
   bool const success = answer.status == 200;
-  out.returned.verdict = notRun ? Verdict::notRun : Verdict::ran;
-  out.returned.overCapacity = notRun;
-  out.returned.good = !notRun && (success || !asked.part);
-  out.returned.healthy = !notRun && success;
-  if (asked.part && out.returned.good) {
-    out.part = dispatch::ShardResult{{asked.service, asked.cut, asked.request}, {answer.body}, "seal-" + asked.service};
+  out.finished.verdict = notRun ? Verdict::notRun : Verdict::ran;
+  out.finished.overCapacity = notRun;
+  out.finished.good = !notRun && (success || !context.expectsShardResult);
+  out.finished.healthy = !notRun && success;
+  if (context.expectsShardResult && out.finished.good) {
+    out.shardResult = dispatch::ShardResult{
+        {context.service, context.partition, context.request}, {answer.body}, "seal-" + context.service};
   }
   return out;
 }
 
-net::Answer writeGathered(Gathered const& gathered) {
+net::Answer writeMerged(MergedResult const& merged) {
   net::Answer out;
   std::string seals;
-  for (dispatch::ShardResultPtr const& part : gathered.parts) {
-    seals += (seals.empty() ? "" : " ") + part->seal;
+  for (dispatch::ShardResultPtr const& shardResult : merged.shardResults) {
+    seals += (seals.empty() ? "" : " ") + shardResult->seal;
   }
   out.headers = {
-      {"x-seals", seals}, {"x-missing", std::to_string(gathered.missing.size())}, {"x-version", gathered.version}};
-  for (std::string const& record : gathered.records) {
+      {"x-seals", seals}, {"x-missing", std::to_string(merged.missing.size())}, {"x-version", merged.version}};
+  for (std::string const& record : merged.records) {
     out.body += record + " ";
   }
   return out;
@@ -64,22 +65,22 @@
           refusal.reason};
 }
 
-Dialect foreign() {
-  Dialect out;
+ProtocolAdapter foreign() {
+  ProtocolAdapter out;
   out.readCaller = readCaller;
-  out.writeGathered = writeGathered;
+  out.writeMerged = writeMerged;
   out.writeForwarded = [](net::Answer& answer, std::string const&, std::string const& version) {
     answer.headers.emplace_back("x-version", version);
   };
   out.writeRefusal = writeRefusal;
-  out.writeAsk = [](net::Request& request, Asked const& asked) {
+  out.writeAsk = [](net::Request& request, SubrequestContext const& context) {
     for (std::string_view const name : {"x-left", "x-service", "x-life", "x-version"}) {
       net::dropHeader(request.headers, name);
     }
-    request.headers.emplace_back("x-left", std::to_string(asked.remainingMs.count()));
-    request.headers.emplace_back("x-service", asked.service);
-    request.headers.emplace_back("x-life", asked.incarnation);
-    request.headers.emplace_back("x-version", asked.version);
+    request.headers.emplace_back("x-left", std::to_string(context.remainingMs.count()));
+    request.headers.emplace_back("x-service", context.service);
+    request.headers.emplace_back("x-life", context.incarnation);
+    request.headers.emplace_back("x-version", context.version);
   };
   out.readAnswer = readAnswer;
   return out;
@@ -99,7 +100,7 @@
   return out;
 }
 
-config::Route routeTo(std::string const& name, std::vector<config::Choice> const& choices, bool idempotent) {
+config::Route routeTo(std::string const& name, std::vector<config::WeightedService> const& choices, bool idempotent) {
   config::Route out;
   out.name = name;
   out.host = "file.example";
@@ -126,9 +127,9 @@
 struct Node {
   explicit Node(std::string const& name = "m01",
                 config::Configuration const& first = configurationOver({"s0", "s1"}, 1))
-      : plane(Self{name, "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}, foreign()) {
+      : requestManager(NodeIdentity{name, "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}, foreign()) {
     enforce(2, first);
-    step(Placed{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
+    step(PositionChanged{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
     for (std::string const service : {"s0", "s1", "s2", "r0", "r1", "w0", "w1", "none"}) {
       dispatch::ServersUpdated servers{service, {}};
       for (std::string const number : {"1", "2", "3", "4"}) {
@@ -138,13 +139,13 @@
         row.incarnation = "life-" + number;
         servers.rows.push_back(row);
       }
-      step(Tables{servers});
+      step(EndpointsChanged{servers});
     }
   }
 
-  Plane plane;
+  RequestManager requestManager;
   TimePoint now{std::chrono::hours(1)};
-  std::vector<SendOut> sent;
+  std::vector<SendRequest> sent;
   std::vector<Reply> replies;
   std::set<std::uint64_t> cancelled;
   std::map<std::uint64_t, std::uint64_t> requestOf;
@@ -154,19 +155,19 @@
     config::Snapshot snapshot;
     snapshot.version = {1, sequence};
     snapshot.configuration = configuration;
-    step(InForce{std::make_shared<config::Snapshot const>(snapshot)});
+    step(ConfigurationInForce{std::make_shared<config::Snapshot const>(snapshot)});
   }
 
-  void step(Event const& event) {
-    for (Effect const& effect : plane.step(now, event)) {
-      if (SendOut const* const send = std::get_if<SendOut>(&effect)) {
+  void step(RequestEvent const& event) {
+    for (RequestEffect const& effect : requestManager.step(now, event)) {
+      if (SendRequest const* const send = std::get_if<SendRequest>(&effect)) {
         sent.push_back(*send);
       } else if (Reply const* const reply = std::get_if<Reply>(&effect)) {
         replies.push_back(*reply);
-      } else if (CancelOut const* const cancel = std::get_if<CancelOut>(&effect)) {
+      } else if (CancelRequest const* const cancel = std::get_if<CancelRequest>(&effect)) {
         cancelled.insert(cancel->attempt);
-      } else if (Merge const* const merge = std::get_if<Merge>(&effect)) {
-        step(Merged{merge->request, dispatch::mergeShardResults(merge->parts, merge->resultSize)});
+      } else if (MergeShardResults const* const merge = std::get_if<MergeShardResults>(&effect)) {
+        step(MergeFinished{merge->request, dispatch::mergeShardResults(merge->shardResults, merge->resultSize)});
       }
     }
   }
@@ -175,23 +176,26 @@
                        net::Headers headers = {}) {
     headers.emplace_back("host", host);
     headers.emplace_back("x-id", id);
-    step(Arrived{++last, {"GET", target, std::move(headers), "", ""}, false, std::nullopt});
+    step(RequestReceived{++last, {"GET", target, std::move(headers), "", ""}, false, std::nullopt});
     return last;
   }
 
-  static std::string headerOf(SendOut const& send, std::string const& name) {
+  static std::string headerOf(SendRequest const& send, std::string const& name) {
     return findHeader(send.content.headers, name).value_or("");
   }
 
-  void answer(SendOut const& to, int status, std::string const& body, std::string const& id = "", bool unrun = false) {
+  void answer(SendRequest const& to, int status, std::string const& body, std::string const& id = "",
+              bool unrun = false) {
     net::Headers headers{{"x-id", id.empty() ? headerOf(to, "x-id") : id}};
     if (unrun) {
       headers.emplace_back("x-unrun", "1");
     }
-    step(Exchanged{to.attempt, {net::Answer{status, std::move(headers), body}, Verdict::ran, ""}});
+    step(ExchangeFinished{to.attempt, {net::Answer{status, std::move(headers), body}, Verdict::ran, ""}});
   }
 
-  void lose(SendOut const& to, Verdict verdict) { step(Exchanged{to.attempt, {std::nullopt, verdict, "lost"}}); }
+  void lose(SendRequest const& to, Verdict verdict) {
+    step(ExchangeFinished{to.attempt, {std::nullopt, verdict, "lost"}});
+  }
 
   void pass(std::chrono::nanoseconds time) {
     now += time;
@@ -204,7 +208,7 @@
       arrive("file.example", "/read/1", "warm-" + std::to_string(round));
       arrive("find.example", "/find/1", "warm-find-" + std::to_string(round));
       for (std::size_t index = first; index < sent.size(); ++index) {
-        SendOut const to = sent[index];
+        SendRequest const to = sent[index];
         answer(to, 200, "x");
       }
       pass(Ms(10));
@@ -254,7 +258,7 @@
   node.answer(node.sent[0], 200, "stray", "b");
   node.answer(node.sent[1], 200, "own");
   for (std::size_t index = 4; index < node.sent.size(); ++index) {
-    SendOut const to = node.sent[index];
+    SendRequest const to = node.sent[index];
     if (Node::headerOf(to, "x-id") == "a") {
       node.answer(to, 200, "stray", "b");
     }
@@ -285,7 +289,7 @@
     std::set<std::string> good;
     for (std::size_t index = 0; index < 40; ++index) {
       if (index < node.sent.size()) {
-        SendOut const to = node.sent[index];
+        SendRequest const to = node.sent[index];
         switch (node.cancelled.contains(to.attempt) ? 5 : random() % 5) {
           case 0:
             good.insert(node.replies.empty() ? Node::headerOf(to, "x-service") : "");
@@ -312,15 +316,15 @@
     if (reply.answer.status == 200) {
       ++successes;
       std::string const seals = headerOf(reply, "x-seals");
-      std::size_t const parts = static_cast<std::size_t>(std::count(seals.begin(), seals.end(), ' ')) + 1;
-      ASSERT_GE(parts, minimum) << "seed " << seed;
-      ASSERT_EQ(parts, good.size()) << "seed " << seed << " " << seals;
-      ASSERT_EQ(headerOf(reply, "x-missing"), std::to_string(3 - parts)) << "seed " << seed;
+      std::size_t const shardResults = static_cast<std::size_t>(std::count(seals.begin(), seals.end(), ' ')) + 1;
+      ASSERT_GE(shardResults, minimum) << "seed " << seed;
+      ASSERT_EQ(shardResults, good.size()) << "seed " << seed << " " << seals;
+      ASSERT_EQ(headerOf(reply, "x-missing"), std::to_string(3 - shardResults)) << "seed " << seed;
     } else {
       ++failures;
       ASSERT_LT(good.size(), 3u) << "seed " << seed;
     }
-    ASSERT_EQ(node.plane.requests(), 0u) << "seed " << seed;
+    ASSERT_EQ(node.requestManager.requests(), 0u) << "seed " << seed;
   }
   std::printf("seeds 1 to 300: %zu successes, %zu failures\n", successes, failures);
   EXPECT_GT(successes, 50u);
@@ -339,7 +343,7 @@
       one->arrive("file.example", "/split/1", id);
       ASSERT_EQ(one->sent.size(), 1u);
       chosen.push_back(Node::headerOf(one->sent[0], "x-service"));
-      SendOut const to = one->sent[0];
+      SendRequest const to = one->sent[0];
       one->answer(to, 200, "x");
       one->pass(Ms(10));
     }
@@ -360,10 +364,10 @@
     node.sent.clear();
     node.arrive("file.example", "/split/1", "again-" + std::to_string(round));
     ASSERT_EQ(node.sent.size(), 1u);
-    SendOut const first = node.sent[0];
+    SendRequest const first = node.sent[0];
     node.lose(first, Verdict::notRun);
     ASSERT_EQ(node.sent.size(), 2u) << round;
-    SendOut const second = node.sent[1];
+    SendRequest const second = node.sent[1];
     EXPECT_EQ(Node::headerOf(first, "x-service"), Node::headerOf(second, "x-service"));
     EXPECT_EQ(Node::headerOf(first, "x-id"), Node::headerOf(second, "x-id"));
     EXPECT_NE(first.server, second.server);
@@ -390,7 +394,7 @@
     EXPECT_LE(left, one.second);
     EXPECT_GT(left, one.second * 8 / 10);
     node.now += Ms(50);
-    SendOut const first = node.sent[0];
+    SendRequest const first = node.sent[0];
     node.lose(first, Verdict::notRun);
     ASSERT_EQ(node.sent.size(), 2u);
     EXPECT_LE(std::stol(Node::headerOf(node.sent[1], "x-left")), left - 50);
@@ -428,7 +432,7 @@
         idOf[node.arrive("file.example", "/write/1", id)] = id;
       }
       for (; seen < node.sent.size(); ++seen) {
-        SendOut const to = node.sent[seen];
+        SendRequest const to = node.sent[seen];
         std::string const id = Node::headerOf(to, "x-id");
         for (std::uint64_t const earlier : attempts[id]) {
           ASSERT_TRUE(provedUnrun[earlier]) << "seed " << seed << " " << id;
@@ -448,7 +452,7 @@
         }
       }
       if (!node.sent.empty()) {
-        SendOut const to = node.sent[random() % node.sent.size()];
+        SendRequest const to = node.sent[random() % node.sent.size()];
         if (!provedUnrun.contains(to.attempt) && !node.cancelled.contains(to.attempt)) {
           std::uint32_t const kind = random() % 6;
           provedUnrun[to.attempt] = kind < 3;
@@ -478,7 +482,7 @@
     Node node;
     node.fillBudget();
     node.arrive("file.example", "/read/1", "a");
-    SendOut const first = node.sent.at(0);
+    SendRequest const first = node.sent.at(0);
     if (kind == 0) {
       node.lose(first, Verdict::mayHaveRun);
     } else {
@@ -489,7 +493,7 @@
     }
     ASSERT_EQ(node.sent.size(), 2u) << kind;
     EXPECT_NE(node.sent[1].server, first.server);
-    SendOut const second = node.sent[1];
+    SendRequest const second = node.sent[1];
     node.answer(second, 200, "x");
     ASSERT_EQ(node.replies.size(), 1u);
     EXPECT_EQ(node.replies[0].answer.status, 200);
@@ -500,7 +504,7 @@
   Node node;
   node.fillBudget();
   node.arrive("file.example", "/write/1", "a");
-  SendOut const first = node.sent.at(0);
+  SendRequest const first = node.sent.at(0);
   node.answer(first, 500, "its own words");
   ASSERT_EQ(node.replies.size(), 1u);
   EXPECT_EQ(node.replies[0].answer.status, 500);
--- a/tests/query_test.cpp
+++ b/tests/query_test.cpp
@@ -6,15 +6,15 @@
 
 using namespace limeramp::query;
 
-std::vector<Sheet> const sheets{
+std::vector<Table> const tables{
     {"servers",
      {"address", "load", "down"},
      {{std::string("a"), 0.5, std::int64_t(0)}, {std::string("b'\"x"), 1.5, std::int64_t(1)}}}};
 
 TEST(Query, AnswersFromTheCopies) {
-  EXPECT_EQ(*ask(sheets, "SELECT address, load FROM servers WHERE down = 1"),
+  EXPECT_EQ(*ask(tables, "SELECT address, load FROM servers WHERE down = 1"),
             R"({"columns":["address","load"],"rows":[["b'\"x",1.5]],"more":false})");
-  EXPECT_EQ(*ask(sheets, "select count(*) as n, max(load) from servers;"),
+  EXPECT_EQ(*ask(tables, "select count(*) as n, max(load) from servers;"),
             R"x({"columns":["n","max(load)"],"rows":[[2,1.5]],"more":false})x");
 }
 
@@ -24,20 +24,20 @@
         "CREATE TABLE x(y)", "ATTACH '/tmp/x' AS y", "PRAGMA journal_mode=WAL", "SELECT load_extension('x')",
         "VACUUM INTO '/tmp/x'", "BEGIN", "SELECT 1; DELETE FROM servers", "SELECT * FROM nowhere", "SELEC 1", "",
         ";"}) {
-    EXPECT_FALSE(ask(sheets, query).ok()) << query;
+    EXPECT_FALSE(ask(tables, query).ok()) << query;
   }
 }
 
 TEST(Query, IsBoundInTimeRowsAndSize) {
-  EXPECT_FALSE(ask(sheets, "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i+1 FROM n) SELECT sum(i) FROM n").ok());
+  EXPECT_FALSE(ask(tables, "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i+1 FROM n) SELECT sum(i) FROM n").ok());
   Bounds bounds;
   bounds.maxRows = 5;
   absl::StatusOr<std::string> const few =
-      ask(sheets, "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i+1 FROM n) SELECT i FROM n", bounds);
+      ask(tables, "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i+1 FROM n) SELECT i FROM n", bounds);
   ASSERT_TRUE(few.ok());
   EXPECT_EQ(*few, R"({"columns":["i"],"rows":[[1],[2],[3],[4],[5]],"more":true})");
-  EXPECT_FALSE(ask(sheets, "SELECT zeroblob(100000000)").ok());
-  EXPECT_FALSE(ask(sheets, "SELECT '" + std::string(5000, 'x') + "'").ok());
+  EXPECT_FALSE(ask(tables, "SELECT zeroblob(100000000)").ok());
+  EXPECT_FALSE(ask(tables, "SELECT '" + std::string(5000, 'x') + "'").ok());
 }
 
 }  // namespace
--- a/tests/request_plane_test.cpp
+++ b/tests/request_manager_test.cpp
@@ -1,4 +1,4 @@
-#include "limeramp/gateway/request_plane.h"
+#include "limeramp/gateway/request_manager.h"
 
 #include <gtest/gtest.h>
 
@@ -27,15 +27,15 @@
 }
 
 struct GatewayServer {
-  Plane plane{Self{"m01", "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}};
+  RequestManager requestManager{NodeIdentity{"m01", "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}};
   TimePoint now{std::chrono::hours(1)};
-  std::vector<SendOut> sent;
+  std::vector<SendRequest> sent;
   std::vector<Reply> replies;
-  std::vector<CancelOut> cancelled;
+  std::vector<CancelRequest> cancelled;
   std::uint64_t last = 0;
 
   GatewayServer() {
-    step(InForce{snapshotOf(document, 2)});
+    step(ConfigurationInForce{snapshotOf(document, 2)});
     for (std::string const service : {"p0", "p1", "logs"}) {
       dispatch::ServersUpdated servers{service, {}};
       for (std::string const address : {"127.0.0.8:1", "127.0.0.9:1"}) {
@@ -43,36 +43,37 @@
         row.address = address;
         servers.rows.push_back(row);
       }
-      step(Tables{servers});
+      step(EndpointsChanged{servers});
     }
   }
 
-  void step(Event const& event) {
-    for (Effect const& effect : plane.step(now, event)) {
-      if (SendOut const* const send = std::get_if<SendOut>(&effect)) {
+  void step(RequestEvent const& event) {
+    for (RequestEffect const& effect : requestManager.step(now, event)) {
+      if (SendRequest const* const send = std::get_if<SendRequest>(&effect)) {
         sent.push_back(*send);
       } else if (Reply const* const reply = std::get_if<Reply>(&effect)) {
         replies.push_back(*reply);
-      } else if (CancelOut const* const cancel = std::get_if<CancelOut>(&effect)) {
+      } else if (CancelRequest const* const cancel = std::get_if<CancelRequest>(&effect)) {
         cancelled.push_back(*cancel);
-      } else if (Grind const* const grind = std::get_if<Grind>(&effect)) {
-        step(Ground{grind->attempt, dispatch::parseShardResult(grind->body, grind->expected, grind->resultSize),
-                    grind->load});
-      } else if (Merge const* const merge = std::get_if<Merge>(&effect)) {
-        step(Merged{merge->request, dispatch::mergeShardResults(merge->parts, merge->resultSize)});
+      } else if (ParseShardResult const* const grind = std::get_if<ParseShardResult>(&effect)) {
+        step(ShardResultParsed{
+            grind->attempt, dispatch::parseShardResult(grind->body, grind->expected, grind->resultSize), grind->load});
+      } else if (MergeShardResults const* const merge = std::get_if<MergeShardResults>(&effect)) {
+        step(MergeFinished{merge->request, dispatch::mergeShardResults(merge->shardResults, merge->resultSize)});
       }
     }
   }
-  void arrive(std::string const& target, net::Headers headers = {{"limeramp-tenant", "t"}}, bool passed = false,
+  void arrive(std::string const& target, net::Headers headers = {{"limeramp-tenant", "t"}}, bool forwarded = false,
               std::string const& body = "") {
-    step(Arrived{++last, {body.empty() ? "GET" : "POST", target, std::move(headers), body, ""}, passed, std::nullopt});
+    step(RequestReceived{
+        ++last, {body.empty() ? "GET" : "POST", target, std::move(headers), body, ""}, forwarded, std::nullopt});
   }
-  void answer(SendOut const& to, int status, std::string const& body) {
-    step(Exchanged{
+  void answer(SendRequest const& to, int status, std::string const& body) {
+    step(ExchangeFinished{
         to.attempt,
         {net::Answer{status, {{"x-own", "1"}, {"limeramp-verdict", "not_run"}}, body}, retry::Verdict::ran, ""}});
   }
-  void part(SendOut const& to, std::string const& cut, std::string const& record, int status = 200) {
+  void shardResult(SendRequest const& to, std::string const& cut, std::string const& record, int status = 200) {
     answer(to, status,
            "{\"stamp\":{\"shard\":\"" + *net::findHeader(to.content.headers, "limeramp-shard") + "\",\"cut\":\"" + cut +
                "\",\"request\":\"" + *net::findHeader(to.content.headers, "limeramp-request") + "\"},\"records\":[\"" +
@@ -133,11 +134,11 @@
 
 TEST(Pinning, ARequestKeepsItsConfigurationAndRefusesPartsOfAnother) {
   GatewayServer front;
-  front.step(Placed{dispatch::FleetPosition{1, 0, 3}});
+  front.step(PositionChanged{dispatch::FleetPosition{1, 0, 3}});
   for (std::size_t round = 0; round < 6; ++round) {
     front.arrive("/packages");
-    front.part(front.sent[round * 2], "c1", "a");
-    front.part(front.sent[round * 2 + 1], "c1", "a");
+    front.shardResult(front.sent[round * 2], "c1", "a");
+    front.shardResult(front.sent[round * 2 + 1], "c1", "a");
   }
   front.sent.clear();
   front.replies.clear();
@@ -147,12 +148,12 @@
   for (std::size_t at = recut.find("c1"); at != std::string::npos; at = recut.find("c1", at + 1)) {
     recut.replace(at, 2, "c2");
   }
-  front.step(InForce{snapshotOf(recut, 3)});
-  front.part(front.sent[0], "c2", "z");
-  front.part(front.sent[1], "c1", "a");
+  front.step(ConfigurationInForce{snapshotOf(recut, 3)});
+  front.shardResult(front.sent[0], "c2", "z");
+  front.shardResult(front.sent[1], "c1", "a");
   ASSERT_GE(front.sent.size(), 3u);
   EXPECT_EQ(net::findHeader(front.sent[2].content.headers, "limeramp-version"), "1.2");
-  front.part(front.sent[2], "c1", "b");
+  front.shardResult(front.sent[2], "c1", "b");
   ASSERT_EQ(front.replies.size(), 1u);
   EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-version"), "1.2");
   EXPECT_NE(front.replies[0].answer.body.find(R"("records":["b","a"])"), std::string::npos);
@@ -185,8 +186,8 @@
   GatewayServer front;
   front.arrive("/packages");
   for (std::size_t index = 0; index < front.sent.size() && index < 8; ++index) {
-    SendOut const to = front.sent[index];
-    front.part(to, "c1", "spoilt", 500);
+    SendRequest const to = front.sent[index];
+    front.shardResult(to, "c1", "spoilt", 500);
   }
   front.now += Ms(600);
   front.step(Tick{});
@@ -197,17 +198,17 @@
 
 TEST(Cells, ANodeOutsidePassesOnceAndAnOwnerNever) {
   GatewayServer front;
-  front.step(Owners{"north", {"127.0.0.7:7000", "127.0.0.6:7000"}});
+  front.step(CellOwners{"north", {"127.0.0.7:7000", "127.0.0.6:7000"}});
   net::Headers const far{{"limeramp-tenant", "far"}};
   front.arrive("/x", far);
   ASSERT_EQ(front.sent.size(), 1u);
-  EXPECT_TRUE(front.sent[0].carried);
-  front.step(Exchanged{front.sent[0].attempt, {std::nullopt, retry::Verdict::mayHaveRun, "broken"}});
+  EXPECT_TRUE(front.sent[0].toCellOwner);
+  front.step(ExchangeFinished{front.sent[0].attempt, {std::nullopt, retry::Verdict::mayHaveRun, "broken"}});
   ASSERT_EQ(front.replies.size(), 1u);
   EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-verdict"), "may_have_run");
   EXPECT_EQ(front.sent.size(), 1u);
   front.arrive("/x", far);
-  front.step(Exchanged{front.sent[1].attempt, {std::nullopt, retry::Verdict::notRun, "refused"}});
+  front.step(ExchangeFinished{front.sent[1].attempt, {std::nullopt, retry::Verdict::notRun, "refused"}});
   EXPECT_EQ(front.sent.size(), 3u);
   front.arrive("/x", far, true);
   EXPECT_EQ(front.sent.size(), 3u);
@@ -224,7 +225,7 @@
   EXPECT_EQ(front.cancelled.size(), 1u);
   front.answer(front.sent[0], 200, "late");
   EXPECT_EQ(front.replies.size(), 1u);
-  EXPECT_EQ(front.plane.requests(), 0u);
+  EXPECT_EQ(front.requestManager.requests(), 0u);
 }
 
 }  // namespace
--- a/tests/resend_adversary_test.cpp
+++ b/tests/resend_adversary_test.cpp
@@ -1,6 +1,6 @@
 #include "limeramp/control/operator_api.h"
 #include "limeramp/control/order_forwarder.h"
-#include "limeramp/gateway/request_plane.h"
+#include "limeramp/gateway/request_manager.h"
 #include "stand_in_server.h"
 
 #include <gtest/gtest.h>
@@ -43,27 +43,28 @@
 constexpr Ms requestWaitMs{300};
 constexpr std::size_t serversOfAService = 4;
 
-gateway::Heard readAnswer(net::Answer const& answer, gateway::Asked const& asked) {
-  gateway::Heard out;
-  if (findHeader(answer.headers, "x-id") != asked.request) {
+gateway::ParsedAnswer readAnswer(net::Answer const& answer, gateway::SubrequestContext const& context) {
+  gateway::ParsedAnswer out;
+  if (findHeader(answer.headers, "x-id") != context.request) {
     out.reason = "another request's";
     return out;
   }
-  out.returned.staleIncarnation = answer.status == 421;
-  bool const notRun = out.returned.staleIncarnation || findHeader(answer.headers, "x-unrun").has_value();
+  out.finished.staleIncarnation = answer.status == 421;
+  bool const notRun = out.finished.staleIncarnation || findHeader(answer.headers, "x-unrun").has_value();
   bool const success = answer.status == 200;
-  out.returned.verdict = notRun ? Verdict::notRun : Verdict::ran;
-  out.returned.overCapacity = notRun && !out.returned.staleIncarnation;
-  out.returned.good = !notRun && (success || !asked.part);
-  out.returned.healthy = !notRun && success;
-  if (asked.part && out.returned.good) {
-    out.part = dispatch::ShardResult{{asked.service, asked.cut, asked.request}, {answer.body}, asked.service};
+  out.finished.verdict = notRun ? Verdict::notRun : Verdict::ran;
+  out.finished.overCapacity = notRun && !out.finished.staleIncarnation;
+  out.finished.good = !notRun && (success || !context.expectsShardResult);
+  out.finished.healthy = !notRun && success;
+  if (context.expectsShardResult && out.finished.good) {
+    out.shardResult =
+        dispatch::ShardResult{{context.service, context.partition, context.request}, {answer.body}, context.service};
   }
   return out;
 }
 
-gateway::Dialect dialect() {
-  gateway::Dialect out;
+gateway::ProtocolAdapter adapter() {
+  gateway::ProtocolAdapter out;
   out.readCaller = [](net::Request const& request) {
     gateway::Caller caller;
     caller.host = "h";
@@ -71,21 +72,21 @@
     caller.remainingMs = requestWaitMs;
     return std::variant<gateway::Caller, gateway::Refusal>(caller);
   };
-  out.writeGathered = [](gateway::Gathered const& gathered) {
+  out.writeMerged = [](gateway::MergedResult const& merged) {
     net::Answer answer;
-    for (std::string const& record : gathered.records) {
+    for (std::string const& record : merged.records) {
       answer.body += record + "\n";
     }
-    answer.headers = {{"x-parts", std::to_string(gathered.parts.size())}};
+    answer.headers = {{"x-parts", std::to_string(merged.shardResults.size())}};
     return answer;
   };
   out.writeForwarded = [](net::Answer&, std::string const&, std::string const&) {};
   out.writeRefusal = [](gateway::Refusal const& refusal) {
     return net::Answer{500, {{"x-verdict", std::string(retry::nameOf(refusal.verdict))}}, refusal.reason};
   };
-  out.writeAsk = [](net::Request& request, gateway::Asked const& asked) {
-    request.headers.emplace_back("x-life", asked.incarnation);
-    request.headers.emplace_back("x-service", asked.service);
+  out.writeAsk = [](net::Request& request, gateway::SubrequestContext const& context) {
+    request.headers.emplace_back("x-life", context.incarnation);
+    request.headers.emplace_back("x-service", context.service);
     request.identity = {"x-id", "x-id", true};
   };
   out.readAnswer = readAnswer;
@@ -224,7 +225,7 @@
 class Path {
  public:
   explicit Path(std::vector<std::pair<std::string, dispatch::ServersUpdated>> const& tables)
-      : plane_(gateway::Self{"m01", "127.0.0.1:1", "z1", 5}, dispatch::DispatchOptions{}, dialect()),
+      : requestManager_(gateway::NodeIdentity{"m01", "127.0.0.1:1", "z1", 5}, dispatch::DispatchOptions{}, adapter()),
         client_(network_, {}) {
     std::string error;
     server_ = net::HttpServer::listen(
@@ -232,7 +233,7 @@
         [this](net::Request request, net::Responder respond) {
           std::uint64_t const number = ++last_;
           responders_.emplace(number, std::move(respond));
-          drive(gateway::Arrived{number, std::move(request), false, std::nullopt});
+          stepDispatcher(gateway::RequestReceived{number, std::move(request), false, std::nullopt});
         },
         error);
     std::promise<void> ready;
@@ -240,10 +241,10 @@
       config::Snapshot snapshot;
       snapshot.version = {1, 2};
       snapshot.configuration = configuration();
-      drive(gateway::InForce{std::make_shared<config::Snapshot const>(snapshot)});
-      drive(gateway::Placed{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
+      stepDispatcher(gateway::ConfigurationInForce{std::make_shared<config::Snapshot const>(snapshot)});
+      stepDispatcher(gateway::PositionChanged{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
       for (std::pair<std::string, dispatch::ServersUpdated> const& table : tables) {
-        drive(gateway::Tables{table.second});
+        stepDispatcher(gateway::EndpointsChanged{table.second});
       }
       ready.set_value();
     });
@@ -254,21 +255,21 @@
   net::Address address() const { return server_->address(); }
 
  private:
-  void drive(gateway::Event const& event) {
-    for (gateway::Effect const& effect : plane_.step(Clock::now(), event)) {
+  void stepDispatcher(gateway::RequestEvent const& event) {
+    for (gateway::RequestEffect const& effect : requestManager_.step(Clock::now(), event)) {
       std::visit([this](auto const& concrete) { carry(concrete); }, effect);
     }
     arm();
   }
 
   void arm() {
-    std::optional<TimePoint> const wake = plane_.nextWake(Clock::now());
+    std::optional<TimePoint> const wake = requestManager_.nextWake(Clock::now());
     if (wake && *wake < armedFor_) {
       network_.cancel(alarm_);
       armedFor_ = *wake;
       alarm_ = network_.at(*wake, [this] {
         armedFor_ = TimePoint::max();
-        drive(gateway::Tick{});
+        stepDispatcher(gateway::Tick{});
       });
     }
   }
@@ -277,22 +278,23 @@
     responders_.at(reply.request)(reply.answer);
     responders_.erase(reply.request);
   }
-  void carry(gateway::SendOut const& send) {
+  void carry(gateway::SendRequest const& send) {
     std::uint64_t const attempt = send.attempt;
     client_.begin(attempt, *net::Address::parse(send.server), send.content, send.deadline,
                   [this, attempt](net::Exchange exchange) {
-                    drive(gateway::Exchanged{attempt, std::move(exchange)});
+                    stepDispatcher(gateway::ExchangeFinished{attempt, std::move(exchange)});
                   });
   }
-  void carry(gateway::CancelOut const& cancel) { client_.cancel(cancel.attempt); }
-  void carry(gateway::Grind const&) {}
-  void carry(gateway::Merge const& merge) {
-    drive(gateway::Merged{merge.request, dispatch::mergeShardResults(merge.parts, merge.resultSize)});
+  void carry(gateway::CancelRequest const& cancel) { client_.cancel(cancel.attempt); }
+  void carry(gateway::ParseShardResult const&) {}
+  void carry(gateway::MergeShardResults const& merge) {
+    stepDispatcher(
+        gateway::MergeFinished{merge.request, dispatch::mergeShardResults(merge.shardResults, merge.resultSize)});
   }
   void carry(dispatch::LogEntry const&) {}
 
   net::Network network_;
-  gateway::Plane plane_;
+  gateway::RequestManager requestManager_;
   net::HttpClient client_;
   std::unordered_map<std::uint64_t, net::Responder> responders_;
   std::uint64_t last_ = 0;
@@ -367,16 +369,16 @@
       return answer.body.starts_with(id + "|") && answer.body.ends_with("|" + id) && answer.body.size() > 2 * id.size();
     }
     std::string rest = answer.body;
-    int parts = 0;
+    int shardResults = 0;
     for (std::size_t end = rest.find('\n'); end != std::string::npos; end = rest.find('\n')) {
-      std::string const part = rest.substr(0, end);
-      if (!part.starts_with(id + "|") || !part.ends_with("|" + id)) {
+      std::string const shardResult = rest.substr(0, end);
+      if (!shardResult.starts_with(id + "|") || !shardResult.ends_with("|" + id)) {
         return false;
       }
-      ++parts;
+      ++shardResults;
       rest.erase(0, end + 1);
     }
-    return rest.empty() && std::to_string(parts) == findHeader(answer.headers, "x-parts").value_or("");
+    return rest.empty() && std::to_string(shardResults) == findHeader(answer.headers, "x-parts").value_or("");
   }
 
   net::Address path_;
