--- a/testside/capacity/cost_benchmark.cpp
+++ b/testside/capacity/cost_benchmark.cpp
@@ -2,7 +2,7 @@
 #include "limeramp/discovery/list.h"
 #include "limeramp/distribution/config_delivery.h"
 #include "limeramp/distribution/peer_views.h"
-#include "limeramp/gateway/request_plane.h"
+#include "limeramp/gateway/request_manager.h"
 #include "limeramp/messages/messages.h"
 #include "limeramp/net/http.h"
 #include "simulator/simulated_network.h"
@@ -149,30 +149,30 @@
 
 void measureQueries(std::size_t shards, std::size_t inFlight, std::size_t rounds) {
   using namespace gateway;
-  Plane plane(Self{"m1", "10.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{});
+  RequestManager requestManager(NodeIdentity{"m1", "10.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{});
   retry::TimePoint now{std::chrono::hours(1)};
-  std::deque<SendOut> sent;
-  std::deque<Grind> grinds;
-  std::deque<Merge> merges;
+  std::deque<SendRequest> sent;
+  std::deque<ParseShardResult> grinds;
+  std::deque<MergeShardResults> merges;
   std::size_t replies = 0;
   double spentUs = 0;
-  std::function<void(Event const&)> const step = [&](Event const& event) {
+  std::function<void(RequestEvent const&)> const step = [&](RequestEvent const& event) {
     double const from = threadUs();
-    std::vector<Effect> effects = plane.step(now, event);
+    std::vector<RequestEffect> effects = requestManager.step(now, event);
     spentUs += threadUs() - from;
-    for (Effect& effect : effects) {
-      if (SendOut* const send = std::get_if<SendOut>(&effect)) {
+    for (RequestEffect& effect : effects) {
+      if (SendRequest* const send = std::get_if<SendRequest>(&effect)) {
         sent.push_back(std::move(*send));
-      } else if (Grind* const grind = std::get_if<Grind>(&effect)) {
+      } else if (ParseShardResult* const grind = std::get_if<ParseShardResult>(&effect)) {
         grinds.push_back(std::move(*grind));
-      } else if (Merge* const merge = std::get_if<Merge>(&effect)) {
+      } else if (MergeShardResults* const merge = std::get_if<MergeShardResults>(&effect)) {
         merges.push_back(std::move(*merge));
       } else if (std::holds_alternative<Reply>(effect)) {
         ++replies;
       }
     }
   };
-  step(InForce{snapshotOf(shards)});
+  step(ConfigurationInForce{snapshotOf(shards)});
   double const heapBefore = heapBytes();
   for (std::size_t index = 0; index < shards; ++index) {
     dispatch::ServersUpdated servers{"p" + std::to_string(index), {}};
@@ -183,7 +183,7 @@
       row.zone = "z1";
       servers.rows.push_back(row);
     }
-    step(Tables{servers});
+    step(EndpointsChanged{servers});
   }
   double const count = static_cast<double>(shards);
   std::map<std::string, double> const at{{"shards", count}, {"in_flight", static_cast<double>(inFlight)}};
@@ -198,27 +198,27 @@
     std::uint64_t const before = last;
     spentUs = 0;
     while (last < before + inFlight) {
-      step(Arrived{++last,
-                   {"GET", "/all?q=x", {{"limeramp-tenant", "t"}, {"accept", "application/json"}}, "", ""},
-                   false,
-                   std::nullopt});
+      step(RequestReceived{++last,
+                           {"GET", "/all?q=x", {{"limeramp-tenant", "t"}, {"accept", "application/json"}}, "", ""},
+                           false,
+                           std::nullopt});
     }
     arriveUs += spentUs;
     now += Ms(8);
     std::size_t sinceTick = 0;
     while (!sent.empty()) {
-      SendOut const out = std::move(sent.front());
+      SendRequest const out = std::move(sent.front());
       sent.pop_front();
       std::string const body = partBody(*net::findHeader(out.content.headers, "limeramp-shard"),
                                         *net::findHeader(out.content.headers, "limeramp-request"), 10);
       spentUs = 0;
-      step(Exchanged{out.attempt,
-                     {net::Answer{200, {{"content-type", "application/json"}}, body}, retry::Verdict::ran, ""}});
+      step(ExchangeFinished{out.attempt,
+                            {net::Answer{200, {{"content-type", "application/json"}}, body}, retry::Verdict::ran, ""}});
       while (!grinds.empty()) {
-        Grind const grind = std::move(grinds.front());
+        ParseShardResult const grind = std::move(grinds.front());
         grinds.pop_front();
-        step(Ground{grind.attempt, dispatch::parseShardResult(grind.body, grind.expected, grind.resultSize),
-                    grind.load});
+        step(ShardResultParsed{grind.attempt, dispatch::parseShardResult(grind.body, grind.expected, grind.resultSize),
+                               grind.load});
       }
       answerUs += spentUs;
       ++exchanges;
@@ -232,9 +232,9 @@
     }
     spentUs = 0;
     while (!merges.empty()) {
-      Merge const merge = std::move(merges.front());
+      MergeShardResults const merge = std::move(merges.front());
       merges.pop_front();
-      step(Merged{merge.request, dispatch::mergeShardResults(merge.parts, merge.resultSize)});
+      step(MergeFinished{merge.request, dispatch::mergeShardResults(merge.shardResults, merge.resultSize)});
     }
     answerUs += spentUs;
   }
@@ -526,7 +526,7 @@
   double const from = threadUs();
   std::optional<config::Configuration> kept;
   {
-    config::Checked checked = config::checkConfiguration(*config::parseJson(text));
+    config::CheckedConfiguration checked = config::checkConfiguration(*config::parseJson(text));
     if (!checked.configuration) {
       std::fprintf(stderr, "refused: %s %s\n", checked.problems.front().path.c_str(),
                    checked.problems.front().reason.c_str());
--- a/testside/capacity/fleet.cpp
+++ b/testside/capacity/fleet.cpp
@@ -49,7 +49,7 @@
 
 struct SimulatedGateway {
   std::optional<distribution::ConfigDelivery> delivery;
-  std::optional<discovery::Desk> desk;
+  std::optional<discovery::ServerDirectory> directory;
 };
 
 struct SimulatedController {
@@ -136,7 +136,7 @@
                std::string const& kind);
   void onMessage(std::size_t to, messages::PeerMessage const& received);
   void follow(std::size_t index, distribution::ConfigDeliveryStep step) { sendAll(index, step.sends); }
-  void follow(std::size_t index, discovery::DeskStep step);
+  void follow(std::size_t index, discovery::DirectoryStep step);
   void step(std::size_t index, replication::GroupEvent const& event);
   void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
   void persist(std::size_t index, replication::Persist const& effect);
@@ -194,7 +194,7 @@
   if (member.gateway) {
     messages::Follower const self{member.id, member.address, member.zone, 0, 0};
     member.gateway->delivery.emplace(distribution::ConfigDeliveryOptions{}, self, boot, network.random()());
-    member.gateway->desk.emplace(discovery::DeskPolicy{}, member.id, member.address, member.zone);
+    member.gateway->directory.emplace(discovery::ServerDirectoryOptions{}, member.id, member.address, member.zone);
   } else {
     control::ConfigServiceOptions policy;
     policy.maxNodes = shape.maxNodes == 0 ? policy.maxNodes : shape.maxNodes;
@@ -236,17 +236,17 @@
       std::vector<distribution::Outgoing> shuffles = member.views->tick(now);
       sendAll(index, shuffles);
       follow(index, member.gateway->delivery->tick(now, peers));
-      discovery::Around around;
-      around.services = services;
-      around.zoneAddresses.push_back(member.address);
+      discovery::ZoneView zoneView;
+      zoneView.services = services;
+      zoneView.zoneAddresses.push_back(member.address);
       if (std::optional<messages::State> const& state = member.gateway->delivery->state()) {
         for (messages::RosterEntry const& entry : state->roster) {
           if (entry.zone == member.zone && entry.address != member.address) {
-            around.zoneAddresses.push_back(entry.address);
+            zoneView.zoneAddresses.push_back(entry.address);
           }
         }
       }
-      follow(index, member.gateway->desk->tick(now, around));
+      follow(index, member.gateway->directory->tick(now, zoneView));
     } else {
       std::vector<distribution::Outgoing> shuffles =
           member.views->tick(now, member.controller->group->decided().epoch == 0);
@@ -391,14 +391,14 @@
   } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&received.message)) {
     follow(to, member.gateway->delivery->onMessage(now, received.address, *update));
   } else if (messages::TableRequest const* const tablePoll = std::get_if<messages::TableRequest>(&received.message)) {
-    follow(to, member.gateway->desk->onMessage(now, received.address, *tablePoll));
+    follow(to, member.gateway->directory->onMessage(now, received.address, *tablePoll));
   } else if (messages::TableResponse const* const tableResponse =
                  std::get_if<messages::TableResponse>(&received.message)) {
-    follow(to, member.gateway->desk->onMessage(now, received.address, *tableResponse));
+    follow(to, member.gateway->directory->onMessage(now, received.address, *tableResponse));
   }
 }
 
-void Fleet::Impl::follow(std::size_t index, discovery::DeskStep step) {
+void Fleet::Impl::follow(std::size_t index, discovery::DirectoryStep step) {
   sendAll(index, step.sends);
   if (step.readList) {
     ++members[index].load.listReads;
@@ -406,7 +406,7 @@
     network.after(Us(3'000 + network.roll(5'000)), [this, index, incarnation] {
       if (members[index].up && members[index].incarnation == incarnation) {
         Meter const meter(members[index].load.busy);
-        follow(index, members[index].gateway->desk->listed(network.now(), list));
+        follow(index, members[index].gateway->directory->onListPage(network.now(), list));
       }
     });
   }
--- a/testside/explorer/world_operators.cpp
+++ b/testside/explorer/world_operators.cpp
@@ -7,18 +7,18 @@
 constexpr Ms callMs{3000};
 
 /// A language of changes alone: a patch is appended, the revision is the number of changes.
-config::Language appendingLanguage() {
-  config::Language language;
-  language.check = [](std::string const& document) {
-    config::Checked checked;
+config::ConfigSchema appendingLanguage() {
+  config::ConfigSchema schema;
+  schema.check = [](std::string const& document) {
+    config::CheckedConfiguration checked;
     checked.configuration.emplace();
     checked.configuration->revision = changesOf(document).size();
     return checked;
   };
-  language.merge = [](std::string const& document, std::string const& patch) -> absl::StatusOr<std::string> {
+  schema.merge = [](std::string const& document, std::string const& patch) -> absl::StatusOr<std::string> {
     return document + patch;
   };
-  return language;
+  return schema;
 }
 
 }  // namespace
--- a/testside/simulator/fleet_simulation.cpp
+++ b/testside/simulator/fleet_simulation.cpp
@@ -79,7 +79,7 @@
     controller.unsynced.clear();
     controller.diskFails = false;
     controller.group.emplace(replication::ReplicationOptions{});
-    controller.plane.emplace(control::ConfigServiceOptions{}, controller.id, language);
+    controller.plane.emplace(control::ConfigServiceOptions{}, controller.id, schema);
     step(index, replication::Start{{controller.id, controller.address, controller.zone},
                                    controller.disk,
                                    network.random()(),
--- a/testside/simulator/fleet_simulation.h
+++ b/testside/simulator/fleet_simulation.h
@@ -68,7 +68,7 @@
   std::vector<std::string> complaints;
   std::map<std::uint64_t, Answered> answers;
   std::map<std::uint64_t, control::ConfigurationRead> readBacks;
-  config::Language language = config::ownLanguage();
+  config::ConfigSchema schema = config::nativeConfigSchema();
   std::size_t served = 0;
   std::size_t withheld = 0;
   std::size_t confirmedByMajority = 0;
