--- a/libs/config/src/flags.cpp
+++ b/libs/config/src/flags.cpp
@@ -85,8 +85,8 @@
                           std::vector<std::string> const& words) {
   std::vector<char const*> arguments;
   arguments.reserve(words.size());
-  for (std::string const& word : words) {
-    arguments.push_back(word.c_str());
+  for (std::string const& argument : words) {
+    arguments.push_back(argument.c_str());
   }
   FlagOutcome const outcome =
       settingsFromFlags(program, purpose, needs, static_cast<int>(arguments.size()), arguments.data());
--- a/libs/config/src/settings_update.cpp
+++ b/libs/config/src/settings_update.cpp
@@ -12,7 +12,7 @@
 }
 
 template <typename Value>
-void keep(SettingsUpdate& update, Settings const& readAnew, Value Settings::*field, char const* name) {
+void keepUntilRestart(SettingsUpdate& update, Settings const& readAnew, Value Settings::*field, char const* name) {
   if (update.settings.*field != readAnew.*field) {
     update.waitingForRestart.emplace_back(name);
   }
@@ -31,20 +31,20 @@
   apply(update, readAnew, &Settings::extraRatio, "extra_ratio");
   apply(update, readAnew, &Settings::graceMs, "grace_ms");
   apply(update, readAnew, &Settings::noticeMs, "notice_ms");
-  keep(update, readAnew, &Settings::node, "node");
-  keep(update, readAnew, &Settings::listen, "listen");
-  keep(update, readAnew, &Settings::advertise, "advertise");
-  keep(update, readAnew, &Settings::zone, "zone");
-  keep(update, readAnew, &Settings::data, "data");
-  keep(update, readAnew, &Settings::logLevel, "log_level");
-  keep(update, readAnew, &Settings::workerThreads, "hands");
-  keep(update, readAnew, &Settings::maxRequests, "max_requests");
-  keep(update, readAnew, &Settings::rerun, "rerun");
-  keep(update, readAnew, &Settings::storeFileBytes, "store_file_bytes");
-  keep(update, readAnew, &Settings::machineLosses, "losses_to_bear");
-  keep(update, readAnew, &Settings::operatorListens, "operator_listens");
-  keep(update, readAnew, &Settings::readinessListens, "readiness_listens");
-  keep(update, readAnew, &Settings::callerListens, "caller_listens");
+  keepUntilRestart(update, readAnew, &Settings::node, "node");
+  keepUntilRestart(update, readAnew, &Settings::listen, "listen");
+  keepUntilRestart(update, readAnew, &Settings::advertise, "advertise");
+  keepUntilRestart(update, readAnew, &Settings::zone, "zone");
+  keepUntilRestart(update, readAnew, &Settings::data, "data");
+  keepUntilRestart(update, readAnew, &Settings::logLevel, "log_level");
+  keepUntilRestart(update, readAnew, &Settings::workerThreads, "hands");
+  keepUntilRestart(update, readAnew, &Settings::maxRequests, "max_requests");
+  keepUntilRestart(update, readAnew, &Settings::rerun, "rerun");
+  keepUntilRestart(update, readAnew, &Settings::storeFileBytes, "store_file_bytes");
+  keepUntilRestart(update, readAnew, &Settings::machineLosses, "losses_to_bear");
+  keepUntilRestart(update, readAnew, &Settings::operatorListens, "operator_listens");
+  keepUntilRestart(update, readAnew, &Settings::readinessListens, "readiness_listens");
+  keepUntilRestart(update, readAnew, &Settings::callerListens, "caller_listens");
   // mayFound and startHoldMs matter at the start alone: a running process has no use for another value.
   return update;
 }
--- a/libs/control/include/limeramp/control/change_receipts.h
+++ b/libs/control/include/limeramp/control/change_receipts.h
@@ -26,10 +26,10 @@
 ReceiptLookup findReceipt(messages::State const& state, Change const& change);
 
 /// Notes in `state` that the change was taken as the state's current configuration. Keeps `most` receipts.
-void addReceipt(messages::State& state, Change const& change, std::uint64_t revision, std::size_t most);
+void addReceipt(messages::State& state, Change const& change, std::uint64_t revision, std::size_t maximum);
 
 /// May the change have been taken although no receipt of it is left? `revision` is the one that its document names, 0
 /// if none. `most` is the number of receipts kept.
-bool mayBeForgotten(messages::State const& state, Change const& change, std::uint64_t revision, std::size_t most);
+bool mayBeForgotten(messages::State const& state, Change const& change, std::uint64_t revision, std::size_t maximum);
 
 }  // namespace limeramp::control
--- a/libs/control/include/limeramp/control/config_service.h
+++ b/libs/control/include/limeramp/control/config_service.h
@@ -19,7 +19,7 @@
 
 struct ConfigServiceOptions {
   std::chrono::milliseconds nodeCurrentMs{2000};
-  std::chrono::milliseconds silentGraceMs{500};
+  std::chrono::milliseconds unresponsiveGraceMs{500};
   std::chrono::milliseconds leadershipConfirmationMs{1200};
   std::chrono::milliseconds rosterForgetMs{60'000};
   std::chrono::milliseconds rosterBatchMs{100};
--- a/libs/control/include/limeramp/control/operator_api.h
+++ b/libs/control/include/limeramp/control/operator_api.h
@@ -18,7 +18,7 @@
 constexpr char const* versionHeader = "limeramp-version";
 constexpr std::chrono::milliseconds operatorWaitMs{900};
 
-enum class OperatorCall { none, change, read, forget };
+enum class OperatorCall { none, change, read, removeNodes };
 
 OperatorCall operatorCallOf(net::Request const& request);
 std::variant<TimePoint, net::Answer> readDeadline(net::Request const& request, TimePoint arrivedAt);
--- a/libs/control/src/answer_gate.cpp
+++ b/libs/control/src/answer_gate.cpp
@@ -7,12 +7,12 @@
 namespace limeramp::control {
 namespace {
 
-std::vector<PendingAnswer> takeIf(std::vector<PendingAnswer>& held,
+std::vector<PendingAnswer> takeIf(std::vector<PendingAnswer>& pending,
                                   std::function<bool(PendingAnswer const&)> const& wanted) {
-  std::vector<PendingAnswer>::iterator const first =
-      std::stable_partition(held.begin(), held.end(), [&](PendingAnswer const& answer) { return !wanted(answer); });
-  std::vector<PendingAnswer> out(std::make_move_iterator(first), std::make_move_iterator(held.end()));
-  held.erase(first, held.end());
+  std::vector<PendingAnswer>::iterator const first = std::stable_partition(
+      pending.begin(), pending.end(), [&](PendingAnswer const& answer) { return !wanted(answer); });
+  std::vector<PendingAnswer> out(std::make_move_iterator(first), std::make_move_iterator(pending.end()));
+  pending.erase(first, pending.end());
   return out;
 }
 
@@ -31,11 +31,11 @@
 
 void AnswerGate::digest(messages::StateDigest& digest) const {
   digest.add(pending_.size());
-  for (PendingAnswer const& held : pending_) {
-    digest.add(held.ticket);
-    digest.add(held.arrivedAt);
-    digest.add(held.deadline);
-    digest.add(held.decision.has_value());
+  for (PendingAnswer const& pending : pending_) {
+    digest.add(pending.ticket);
+    digest.add(pending.arrivedAt);
+    digest.add(pending.deadline);
+    digest.add(pending.decision.has_value());
   }
 }
 
--- a/libs/control/src/change_receipts.cpp
+++ b/libs/control/src/change_receipts.cpp
@@ -46,9 +46,9 @@
   std::uint64_t revision = 0;
 };
 
-Forgotten forgottenOf(messages::State const& state, std::size_t most) {
+Forgotten forgottenOf(messages::State const& state, std::size_t maximum) {
   bool const fullListOfAnEarlierVersion =
-      state.forgottenEpoch == 0 && state.receipts.size() >= most && !isCompact(state.receipts.front());
+      state.forgottenEpoch == 0 && state.receipts.size() >= maximum && !isCompact(state.receipts.front());
   if (fullListOfAnEarlierVersion) {
     return {versionOf(state.receipts.front()), state.revision};
   }
@@ -79,16 +79,16 @@
   return {};
 }
 
-void addReceipt(messages::State& state, Change const& change, std::uint64_t revision, std::size_t most) {
+void addReceipt(messages::State& state, Change const& change, std::uint64_t revision, std::size_t maximum) {
   state.receipts.push_back(
       {keyOf(change), state.configurationEpoch, state.configurationSequence, digestOf(change), revision});
-  while (state.receipts.size() > most) {
+  while (state.receipts.size() > maximum) {
     dropOldest(state);
   }
 }
 
-bool mayBeForgotten(messages::State const& state, Change const& change, std::uint64_t revision, std::size_t most) {
-  Forgotten const forgotten = forgottenOf(state, most);
+bool mayBeForgotten(messages::State const& state, Change const& change, std::uint64_t revision, std::size_t maximum) {
+  Forgotten const forgotten = forgottenOf(state, maximum);
   if (change.base) {
     return *change.base < forgotten.version;
   }
--- a/libs/control/src/config_service.cpp
+++ b/libs/control/src/config_service.cpp
@@ -117,7 +117,7 @@
   void completeRemovals();
   void publish(messages::State const& state);
   void startNext(replication::ReplicationGroup const& group);
-  bool offerRoster(replication::ReplicationGroup const& group);
+  bool proposeRoster(replication::ReplicationGroup const& group);
   void begin(replication::ReplicationGroup const& group, QueuedOrder const& queued);
   void begin(QueuedOrder const& queued, NewState proposal);
   void begin(QueuedOrder const& queued, AlreadyTaken const& taken);
@@ -270,8 +270,8 @@
   }
   acknowledgements.clear();
   for (AnswerGate* const gate : {&reads, &refusals}) {
-    for (PendingAnswer const& held : gate->takeAll()) {
-      decide(held.ticket, OrderStatus::notRun, "this node is not the primary");
+    for (PendingAnswer const& pending : gate->takeAll()) {
+      decide(pending.ticket, OrderStatus::notRun, "this node is not the primary");
     }
   }
   for (NodeRemoval const& entry : removals) {
@@ -369,8 +369,8 @@
 
 void ConfigService::Impl::expire() {
   for (AnswerGate* const gate : {&reads, &refusals}) {
-    for (PendingAnswer const& held : gate->takeExpired(now)) {
-      decide(held.ticket, OrderStatus::notRun, "the backup has not confirmed that this node is the primary");
+    for (PendingAnswer const& pending : gate->takeExpired(now)) {
+      decide(pending.ticket, OrderStatus::notRun, "the backup has not confirmed that this node is the primary");
     }
   }
   if (inProgress && !inProgressAnswered && now >= inProgress->deadline) {
@@ -431,7 +431,7 @@
   std::erase_if(acknowledgements, [&](PendingAcknowledgement const& entry) {
     bool const majorities = majorityConfirmed(published.roster, entry.stateVersion) &&
                             (rosterStable || majorityConfirmed(published.priorRoster, entry.stateVersion));
-    bool const lapsed = now - entry.since >= options.silentGraceMs;
+    bool const lapsed = now - entry.since >= options.unresponsiveGraceMs;
     bool const leads = !entry.arrivedAt || confirmedSince(confirmedAt, *entry.arrivedAt);
     if (leads && majorities && (allConfirmed(entry.stateVersion) || lapsed)) {
       decide(entry.ticket, OrderStatus::taken, "", entry.version);
@@ -446,7 +446,7 @@
   });
 }
 
-bool ConfigService::Impl::offerRoster(replication::ReplicationGroup const& group) {
+bool ConfigService::Impl::proposeRoster(replication::ReplicationGroup const& group) {
   if (now < nextRosterAt || !rosterStable || shuttingDown) {
     return false;
   }
@@ -499,7 +499,7 @@
 
 void ConfigService::Impl::startNext(replication::ReplicationGroup const& group) {
   while (active && inProgressTicket == 0) {
-    if (offerRoster(group)) {
+    if (proposeRoster(group)) {
       return;
     }
     if (queue.empty()) {
--- a/libs/control/src/control_server.cpp
+++ b/libs/control/src/control_server.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t maxInboundMessages = 8'192;
 /// Of the inbound messages' places, those that requests leave to the controller's own.
-constexpr std::size_t placesKeptForOwn = 4'096;
+constexpr std::size_t slotsReservedForOwn = 4'096;
 constexpr std::size_t maxDiskJobs = 1'024;
 constexpr std::size_t maxRequestBytes = 4 << 20;
 /// Kept back from the grace time for closing the listeners and the disk.
@@ -40,7 +40,7 @@
   return absl::OkStatus();
 }
 
-std::string freshId(std::string const& node) {
+std::string newMemberId(std::string const& node) {
   char start[20];
   std::snprintf(start, sizeof start, "%08llx", static_cast<unsigned long long>(net::randomUint64() & 0xffffffff));
   return node + "/" + start;
@@ -107,7 +107,7 @@
 }
 
 void ControlServer::Impl::take(net::Request request, net::Responder respond) {
-  if (!inboundMessages.tryPush(Incoming{std::move(request), respond}, placesKeptForOwn)) {
+  if (!inboundMessages.tryPush(Incoming{std::move(request), respond}, slotsReservedForOwn)) {
     respond(plain(503, "{\"outcome\":\"not_run\",\"reason\":\"overloaded\"}"));
   }
 }
@@ -126,7 +126,7 @@
                                                     config::ConfigSchema const& schema) {
   std::unique_ptr<storage::RecordStore> store;
   absl::Status opened = settings.data.empty() ? absl::OkStatus() : openRecordStore(settings, store);
-  Identity identity{freshId(settings.node), settings.mayFound, settings.seeds};
+  Identity identity{newMemberId(settings.node), settings.mayFound, settings.seeds};
   if (opened.ok() && store != nullptr) {
     opened = readIdentity(*store, identity);
   }
--- a/libs/control/src/event_loop.cpp
+++ b/libs/control/src/event_loop.cpp
@@ -11,7 +11,7 @@
 /// How long after the start every seed is asked.
 constexpr Ms eagerMs{1000};
 /// How long after the start the members that others name are not yet written to the disk.
-constexpr Ms settleMs{2000};
+constexpr Ms membersKnownAfterMs{2000};
 constexpr char const* membersKey = "members";
 constexpr std::size_t maxKeptMembers = 16;
 
@@ -50,7 +50,7 @@
     }
   }
   known.mayFound = mayFound && !fleetElsewhere && views.mayFound(now);
-  if (now - startedAt > settleMs) {
+  if (now - startedAt > membersKnownAfterMs) {
     storeMembers(known.members);
   }
   stepGroup(known);
--- a/libs/control/src/operator_api.cpp
+++ b/libs/control/src/operator_api.cpp
@@ -59,11 +59,11 @@
 }
 
 std::string derivedId(net::Request const& request, std::string const& base) {
-  std::string whole;
+  std::string content;
   for (std::string const* const part : {&request.method, &base, &request.body}) {
-    whole += std::to_string(part->size()) + ":" + *part;
+    content += std::to_string(part->size()) + ":" + *part;
   }
-  XXH128_hash_t const digest = XXH3_128bits(whole.data(), whole.size());
+  XXH128_hash_t const digest = XXH3_128bits(content.data(), content.size());
   std::array<char, 48> text{};
   std::snprintf(text.data(), text.size(), "derived-%016llx%016llx", static_cast<unsigned long long>(digest.high64),
                 static_cast<unsigned long long>(digest.low64));
@@ -91,7 +91,7 @@
                                                 : OperatorCall::none;
   }
   if (request.target == removeNodesPath) {
-    return method == "POST" ? OperatorCall::forget : OperatorCall::none;
+    return method == "POST" ? OperatorCall::removeNodes : OperatorCall::none;
   }
   return zoneOf(request.target) && (method == "PUT" || method == "DELETE") ? OperatorCall::change : OperatorCall::none;
 }
--- a/libs/control/src/operator_calls.cpp
+++ b/libs/control/src/operator_calls.cpp
@@ -14,7 +14,7 @@
     inbound.respond({204, {}, ""});
   } else if (operatorCallOf(inbound.content) == OperatorCall::change) {
     changeConfiguration(inbound);
-  } else if (operatorCallOf(inbound.content) == OperatorCall::forget) {
+  } else if (operatorCallOf(inbound.content) == OperatorCall::removeNodes) {
     removeNodes(inbound);
   } else if (operatorCallOf(inbound.content) == OperatorCall::read) {
     readConfiguration(inbound);
--- a/libs/control/src/order_evaluator.cpp
+++ b/libs/control/src/order_evaluator.cpp
@@ -16,7 +16,7 @@
   return {OrderStatus::refused, "", {{std::move(path), std::move(reason)}}};
 }
 
-Rejection tooLong(std::size_t most) { return refusal("/", "longer than " + std::to_string(most) + " bytes"); }
+Rejection tooLong(std::size_t maximum) { return refusal("/", "longer than " + std::to_string(maximum) + " bytes"); }
 
 Rejection forgotten() {
   return {OrderStatus::unknown, "the change is older than all that are remembered: it may have been taken", {}};
--- a/libs/control/src/order_forwarder.cpp
+++ b/libs/control/src/order_forwarder.cpp
@@ -105,7 +105,7 @@
   std::variant<Change, net::Answer> change = reads ? Change{} : readChange(content, arrivedAt);
   std::variant<TimePoint, net::Answer> deadline = readDeadline(content, arrivedAt);
   std::variant<std::vector<std::string>, net::Answer> nodes;
-  if (operatorCallOf(content) == OperatorCall::forget) {
+  if (operatorCallOf(content) == OperatorCall::removeNodes) {
     nodes = readRemoveNodes(content.body);
   }
   for (net::Answer* const wrong :
--- a/libs/control/src/state_machines.cpp
+++ b/libs/control/src/state_machines.cpp
@@ -47,8 +47,8 @@
 
 void ControlServer::Impl::stepService(ConfigServiceEvent const& event) {
   for (ConfigServiceEffect const& effect : service.step(Clock::now(), group, event)) {
-    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
-      stepGroup(*offer);
+    if (replication::Proposal const* const proposal = std::get_if<replication::Proposal>(&effect)) {
+      stepGroup(*proposal);
     } else if (OrderOutcome const* const decided = std::get_if<OrderOutcome>(&effect)) {
       apply(*decided);
     } else if (ConfigurationRead const* const back = std::get_if<ConfigurationRead>(&effect)) {
--- a/libs/discovery/src/server_directory.cpp
+++ b/libs/discovery/src/server_directory.cpp
@@ -362,12 +362,12 @@
       serviceTable.asOf = now;
     }
   }
-  bool const settled = impl.startedAt && now - *impl.startedAt > impl.options.startupMs;
+  bool const pastStartup = impl.startedAt && now - *impl.startedAt > impl.options.startupMs;
   bool const stale = std::any_of(impl.serviceTables.begin(), impl.serviceTables.end(),
                                  [&](std::pair<std::string const, ServiceTable> const& entry) {
                                    return entry.second.asOf && now - *entry.second.asOf > impl.staleAfterMs();
                                  });
-  if (settled && stale && message.tables.empty()) {
+  if (pastStartup && stale && message.tables.empty()) {
     impl.suspects[address] = now + impl.options.suspectMs;
   }
   return out;
--- a/libs/dispatch/include/limeramp/dispatch/dispatcher.h
+++ b/libs/dispatch/include/limeramp/dispatch/dispatcher.h
@@ -49,9 +49,9 @@
   std::chrono::milliseconds halfOpenProbeMs{350};
   double zoneBias = 0.9;
   double zoneLoadCalm = 1;
-  double zoneLoadMost = 1.7;
+  double zoneLoadMax = 1.7;
   double zoneLatencyFactor = 3;
-  std::size_t zoneMostOpen = 3;
+  std::size_t zoneMaxOpen = 3;
   double slowStartInitialShare = 0.2;
   double warmupOverrun = 1.25;
   double warmupSlack = 4;
@@ -179,7 +179,7 @@
 
 class Dispatcher {
  public:
-  explicit Dispatcher(DispatchOptions const& policy);
+  explicit Dispatcher(DispatchOptions const& options);
   ~Dispatcher();
   Dispatcher(Dispatcher&&) noexcept;
   Dispatcher& operator=(Dispatcher&&) noexcept;
--- a/libs/dispatch/src/dispatcher.cpp
+++ b/libs/dispatch/src/dispatcher.cpp
@@ -61,7 +61,7 @@
                      static_cast<double>(std::max<std::size_t>(1, position.gatewayCount));
       state.tokensAt = now;
       state.latencyAt = now;
-      state.limit = static_cast<double>(policy.maxConcurrentPerServer);
+      state.limit = static_cast<double>(options.maxConcurrentPerServer);
     } else {
       state = std::move(*old);
       old->id = 0;
@@ -89,7 +89,7 @@
     firstPositionAt = now;
   }
   recentPositions.emplace_back(now, position);
-  while (recentPositions.size() > 1 && now - recentPositions[1].first >= policy.positionStableMs) {
+  while (recentPositions.size() > 1 && now - recentPositions[1].first >= options.positionStableMs) {
     recentPositions.pop_front();
   }
   for (std::uint32_t index = 0; index < services.size(); ++index) {
@@ -107,7 +107,7 @@
   refusal.outcome = RequestOutcome::refused;
   refusal.verdict = retry::Verdict::notRun;
   refusal.reason = reason;
-  refusal.retryAfter = policy.retryMinMs;
+  refusal.retryAfter = options.retryMinMs;
   std::string const service = event.services.empty() ? "" : event.services.front();
   std::unordered_map<std::string, std::uint32_t>::const_iterator const known = serviceIndex.find(service);
   if (known != serviceIndex.end()) {
@@ -122,7 +122,7 @@
     return;
   }
   ++counters.arrivals;
-  if (event.services.empty() || requests.size() >= policy.maxRequests) {
+  if (event.services.empty() || requests.size() >= options.maxRequests) {
     refuse(event, "overloaded");
     return;
   }
@@ -136,14 +136,14 @@
   state.arrivedAt = now;
   state.deadline = event.deadline;
   double const totalMs = millis(event.deadline - now);
-  double const marginMs = std::min(totalMs / 2, std::clamp(totalMs * policy.marginShareOfDeadline,
-                                                           millis(policy.marginMinMs), millis(policy.marginMaxMs)));
+  double const marginMs = std::min(totalMs / 2, std::clamp(totalMs * options.marginShareOfDeadline,
+                                                           millis(options.marginMinMs), millis(options.marginMaxMs)));
   state.answerBy = event.deadline - fine(marginMs);
   state.offerBy = TimePoint::max();
   if (event.latencyTarget > now && event.latencyTarget < event.deadline) {
     double const targetMs = millis(event.latencyTarget - now);
-    state.latencyTargetAt = event.latencyTarget - fine(std::min(millis(policy.latencyTargetMarginMs), targetMs / 2));
-    state.offerBy = now + fine(targetMs * policy.offerShareOfLatencyTarget);
+    state.latencyTargetAt = event.latencyTarget - fine(std::min(millis(options.latencyTargetMarginMs), targetMs / 2));
+    state.offerBy = now + fine(targetMs * options.offerShareOfLatencyTarget);
   }
   std::size_t crowded = 0;
   state.subrequests.resize(event.services.size());
@@ -176,7 +176,7 @@
 
 Ms Dispatcher::Impl::retryAfter(ServiceState const& service) const {
   double const roomMs = service.latencies.typicalMs() + expectedWaitMs(service, service.waitingCount);
-  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), policy.retryMinMs, policy.retryMaxMs);
+  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), options.retryMinMs, options.retryMaxMs);
 }
 
 void Dispatcher::Impl::closeAttempt(RequestState& request, std::uint32_t index, retry::Attempt const& attempt,
@@ -189,7 +189,7 @@
       server->open.erase(kept);
     }
     subrequest.tenant->abandonedUntil.push_back(
-        now + std::min<TimePoint::duration>(policy.abandonedMaxMs, now - attempt.began));
+        now + std::min<TimePoint::duration>(options.abandonedMaxMs, now - attempt.began));
     if (!lost) {
       shrinkWindow(service, *subrequest.tenant, millis(now - attempt.began));
     }
@@ -306,8 +306,8 @@
   if (request.latencyTargetAt && !request.latencyTargetPassed && now >= *request.latencyTargetAt) {
     request.latencyTargetPassed = true;
     double const ready = static_cast<double>(done);
-    double const most = static_cast<double>(done + pending);
-    if (enough && ready * ready >= policy.lateShare * most * most) {
+    double const possible = static_cast<double>(done + pending);
+    if (enough && ready * ready >= options.lateShare * possible * possible) {
       finish(request, RequestOutcome::partial, "aim");
       return;
     }
@@ -322,7 +322,7 @@
   if (unoffered) {
     due = std::min(due, request.offerBy);
   }
-  for (std::uint32_t index = 0; policy.hedge && request.idempotent && index < request.subrequests.size(); ++index) {
+  for (std::uint32_t index = 0; options.hedge && request.idempotent && index < request.subrequests.size(); ++index) {
     Subrequest& subrequest = request.subrequests[index];
     if (subrequest.straggling || !subrequest.attemptLog.hasOpen() ||
         !subrequest.attemptLog.mayAttemptAgain(request.maxAttempts, true)) {
@@ -406,7 +406,7 @@
   dirty.clear();
 }
 
-Dispatcher::Dispatcher(DispatchOptions const& policy) : impl_(std::make_unique<Impl>(policy)) {}
+Dispatcher::Dispatcher(DispatchOptions const& options) : impl_(std::make_unique<Impl>(options)) {}
 Dispatcher::~Dispatcher() = default;
 Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
 Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
--- a/libs/dispatch/src/dispatcher_impl.h
+++ b/libs/dispatch/src/dispatcher_impl.h
@@ -165,9 +165,9 @@
 };
 
 struct Dispatcher::Impl {
-  explicit Impl(DispatchOptions const& policyIn) : policy(policyIn) {}
+  explicit Impl(DispatchOptions const& optionsIn) : options(optionsIn) {}
 
-  DispatchOptions policy;
+  DispatchOptions options;
   FleetPosition position;
   std::deque<std::pair<TimePoint, FleetPosition>> recentPositions;
   TimePoint firstPositionAt{};
--- a/libs/distribution/src/config_delivery.cpp
+++ b/libs/distribution/src/config_delivery.cpp
@@ -445,14 +445,14 @@
   }
   if (!impl.state && now >= impl.nextFirstStateAt) {
     impl.nextFirstStateAt = now + impl.options.replyMs;
-    std::vector<std::string> fronts;
+    std::vector<std::string> gateways;
     for (messages::Peer const& peer : peers) {
       if (peer.role == messages::gatewayRole && peer.address != impl.self.address) {
-        fronts.push_back(peer.address);
+        gateways.push_back(peer.address);
       }
     }
-    if (!fronts.empty()) {
-      std::string const& chosen = fronts[impl.random() % fronts.size()];
+    if (!gateways.empty()) {
+      std::string const& chosen = gateways[impl.random() % gateways.size()];
       out.sends.push_back({chosen, impl.makeRequest(now, chosen, Purpose::verify)});
     }
   }
--- a/libs/distribution/src/peer_views.cpp
+++ b/libs/distribution/src/peer_views.cpp
@@ -30,7 +30,7 @@
   std::map<std::string, TimePoint> lastReceivedAt;
   TimePoint nextAt{};
   std::optional<TimePoint> startedAt;
-  std::size_t turn = 0;
+  std::size_t shuffles = 0;
 
   void forget(TimePoint now) {
     std::erase_if(entries, [&](std::pair<std::string const, Entry> const& entry) {
@@ -101,17 +101,17 @@
   }
   impl_->nextAt = now + impl_->options.shuffleMs;
   impl_->forget(now);
-  ++impl_->turn;
+  ++impl_->shuffles;
   std::vector<std::string> targets;
   bool const few = impl_->entries.size() < impl_->options.fewPeers;
   std::size_t const remoteShuffleEvery = impl_->options.remoteShuffleEvery;
-  bool const remote = impl_->turn % remoteShuffleEvery == 0;
-  bool const asksSeed = impl_->turn % (4 * remoteShuffleEvery) == 0;
+  bool const remote = impl_->shuffles % remoteShuffleEvery == 0;
+  bool const asksSeed = impl_->shuffles % (4 * remoteShuffleEvery) == 0;
   if (std::string const chosen = impl_->choose(remote); !chosen.empty() && !(asksSeed && !few)) {
     targets.push_back(chosen);
   }
   if (few || asksSeed) {
-    std::string const& seed = impl_->seeds[impl_->turn / (few ? 1 : 4 * remoteShuffleEvery) % impl_->seeds.size()];
+    std::string const& seed = impl_->seeds[impl_->shuffles / (few ? 1 : 4 * remoteShuffleEvery) % impl_->seeds.size()];
     if (seed != impl_->self.address) {
       targets.push_back(seed);
     }
@@ -161,14 +161,14 @@
 }
 
 bool PeerViews::mayFound(TimePoint now) const {
-  std::size_t const heard = static_cast<std::size_t>(
+  std::size_t const aliveSeeds = static_cast<std::size_t>(
       std::count_if(impl_->foundingSeeds.begin(), impl_->foundingSeeds.end(), [&](std::string const& seed) {
         std::map<std::string, TimePoint>::const_iterator const found = impl_->lastReceivedAt.find(seed);
         return seed == impl_->self.address ||
                (found != impl_->lastReceivedAt.end() && now - found->second <= impl_->options.seedAliveMs);
       }));
   bool const waited = impl_->startedAt && now - *impl_->startedAt >= impl_->options.loneFoundingMs;
-  return heard == impl_->foundingSeeds.size() || (waited && 2 * heard > impl_->foundingSeeds.size());
+  return aliveSeeds == impl_->foundingSeeds.size() || (waited && 2 * aliveSeeds > impl_->foundingSeeds.size());
 }
 
 std::vector<std::string> rankByRendezvousHash(std::string const& topic, std::vector<std::string> nodes) {
--- a/libs/distribution/src/staleness_check.cpp
+++ b/libs/distribution/src/staleness_check.cpp
@@ -36,8 +36,8 @@
   std::erase_if(askedAt_, [&](std::pair<std::string const, TimePoint> const& entry) {
     return now - entry.second >= options_.againMs;
   });
-  std::size_t const most = wanted(now, roster, needed, answered);
-  for (std::size_t step = 0; step < roster.size() && out.size() < most; ++step) {
+  std::size_t const wantedCount = wanted(now, roster, needed, answered);
+  for (std::size_t step = 0; step < roster.size() && out.size() < wantedCount; ++step) {
     messages::RosterEntry const& entry = roster[cursor_++ % roster.size()];
     if (entry.node == self_ || answered(entry.node) || askedAt_.contains(entry.node)) {
       continue;
--- a/libs/distribution/src/state_feed.cpp
+++ b/libs/distribution/src/state_feed.cpp
@@ -88,10 +88,10 @@
     return std::nullopt;
   }
   if (!follower.parts) {
-    messages::StateResponse whole = response;
-    whole.state = newest;
-    whole.state->receipts.clear();
-    return whole;
+    messages::StateResponse withState = response;
+    withState.state = newest;
+    withState.state->receipts.clear();
+    return withState;
   }
   messages::StateUpdate update = updateFor(newest, *follower.parts, rosters_, response);
   bool const underWay = follower.sentConfiguration == configurationVersionOf(newest) && now < follower.underWayUntil;
--- a/libs/distribution/src/state_update.cpp
+++ b/libs/distribution/src/state_update.cpp
@@ -148,13 +148,13 @@
   next.evacuatedZones = update.evacuatedZones;
   next.rosterEpoch = update.parts.rosterEpoch;
   next.rosterSequence = update.parts.rosterSequence;
-  bool const whole = base == messages::StateVersion{};
-  if (!whole && base == rosterVersionOf(update.parts)) {
+  bool const fromEmpty = base == messages::StateVersion{};
+  if (!fromEmpty && base == rosterVersionOf(update.parts)) {
     next.roster = current->roster;
     next.priorRoster = current->priorRoster;
     return next;
   }
-  next.roster = applyDifference(whole ? std::vector<messages::RosterEntry>{} : current->roster, update.roster);
+  next.roster = applyDifference(fromEmpty ? std::vector<messages::RosterEntry>{} : current->roster, update.roster);
   next.priorRoster = applyDifference(next.roster, update.priorRoster);
   return next;
 }
--- a/libs/gateway/include/limeramp/gateway/protocol_adapter.h
+++ b/libs/gateway/include/limeramp/gateway/protocol_adapter.h
@@ -37,7 +37,7 @@
 };
 
 struct Refusal {
-  RefusalReason why = RefusalReason::failed;
+  RefusalReason kind = RefusalReason::failed;
   std::string reason;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
   std::optional<std::chrono::milliseconds> retryAfter;
--- a/libs/gateway/src/event_loop.cpp
+++ b/libs/gateway/src/event_loop.cpp
@@ -92,14 +92,14 @@
 }
 
 void GatewayServer::Impl::refreshReadiness(Clock::time_point now) {
-  std::string const why = notReadyReason(now);
-  if (!callersLetIn && (why.empty() || now - startedAt >= settings.startHoldMs)) {
+  std::string const reason = notReadyReason(now);
+  if (!callersLetIn && (reason.empty() || now - startedAt >= settings.startHoldMs)) {
     callersLetIn = true;
     listeners.open(node::Listeners::Audience::callers);
   }
-  if (why != lastNotReadyReason) {
-    lastNotReadyReason = why;
-    logging::raise(logging::Event::readinessChanged, {{"ready", why.empty() ? "yes" : "no"}, {"reason", why}});
+  if (reason != lastNotReadyReason) {
+    lastNotReadyReason = reason;
+    logging::raise(logging::Event::readinessChanged, {{"ready", reason.empty() ? "yes" : "no"}, {"reason", reason}});
   }
 }
 
--- a/libs/gateway/src/forwarding.cpp
+++ b/libs/gateway/src/forwarding.cpp
@@ -149,8 +149,8 @@
   });
 }
 
-void GatewayServer::Impl::apply(dispatch::LogEntry const& note) {
-  logging::raise(note.event, {{"service", note.service}, {"about", note.server}});
+void GatewayServer::Impl::apply(dispatch::LogEntry const& entry) {
+  logging::raise(entry.event, {{"service", entry.service}, {"about", entry.server}});
 }
 
 void GatewayServer::Impl::countUnanswered(int change) {
--- a/libs/gateway/src/gateway_server_impl.h
+++ b/libs/gateway/src/gateway_server_impl.h
@@ -95,7 +95,7 @@
   void apply(CancelRequest const& effect) { client.cancel(effect.attempt); }
   void apply(ParseShardResult const& effect);
   void apply(MergeShardResults const& effect);
-  void apply(dispatch::LogEntry const& note);
+  void apply(dispatch::LogEntry const& entry);
   void countUnanswered(int change);
 
   // Calls under /limeramp: operator_calls.cpp.
--- a/libs/gateway/src/native_protocol_adapter.cpp
+++ b/libs/gateway/src/native_protocol_adapter.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view shardHeader = "limeramp-shard";
 constexpr std::string_view versionHeader = "limeramp-version";
 constexpr std::string_view loadHeader = "limeramp-load";
-constexpr std::string_view lifeHeader = "limeramp-life";
+constexpr std::string_view incarnationHeader = "limeramp-life";
 constexpr std::string_view verdictHeader = "limeramp-verdict";
 constexpr std::string_view answersHeader = "limeramp-answers";
 constexpr long maxDeadlineMs = 60'000;
@@ -60,7 +60,7 @@
 }
 
 int statusOf(Refusal const& refusal) {
-  switch (refusal.why) {
+  switch (refusal.kind) {
     case RefusalReason::malformed:
       return 400;
     case RefusalReason::unknownEntry:
@@ -110,7 +110,7 @@
 
 void writeAsk(net::Request& request, SubrequestContext const& context) {
   net::Headers& headers = request.headers;
-  for (std::string_view const name : {deadlineHeader, requestHeader, shardHeader, versionHeader, lifeHeader}) {
+  for (std::string_view const name : {deadlineHeader, requestHeader, shardHeader, versionHeader, incarnationHeader}) {
     net::dropHeader(headers, name);
   }
   headers.emplace_back(requestHeader, context.request);
@@ -119,7 +119,7 @@
   headers.emplace_back(deadlineHeader, std::to_string(context.remainingMs.count()));
   headers.emplace_back(versionHeader, context.version);
   if (!context.incarnation.empty()) {
-    headers.emplace_back(lifeHeader, context.incarnation);
+    headers.emplace_back(incarnationHeader, context.incarnation);
   }
 }
 
--- a/libs/gateway/src/request_manager.cpp
+++ b/libs/gateway/src/request_manager.cpp
@@ -11,7 +11,7 @@
 
 struct OpenAttempt {
   std::uint64_t request = 0;
-  std::size_t leg = 0;
+  std::size_t shard = 0;
 };
 
 struct OpenRequest {
@@ -60,15 +60,15 @@
   void stepDispatcher(dispatch::DispatchEvent const& event);
   void apply(dispatch::SendAttempt const& send);
   void apply(dispatch::CancelAttempt const& cancel);
-  void apply(dispatch::AcceptShardResult const& keep);
+  void apply(dispatch::AcceptShardResult const& accepted);
   void apply(dispatch::FinishRequest const& finish);
-  void apply(dispatch::LogEntry const& note) { effects.emplace_back(note); }
+  void apply(dispatch::LogEntry const& entry) { effects.emplace_back(entry); }
   void reply(std::uint64_t request, net::Answer answer);
   void refuse(std::uint64_t request, Refusal const& refusal);
   void acceptAnswer(ExchangeFinished const& event, dispatch::AttemptFinished const& finished);
   void acceptShardResult(std::uint64_t attempt, dispatch::AttemptFinished const& finished,
                          dispatch::ShardResult shardResult);
-  SubrequestContext contextOf(OpenRequest const& entry, std::size_t leg) const;
+  SubrequestContext contextOf(OpenRequest const& entry, std::size_t shard) const;
 };
 
 void RequestManager::Impl::reply(std::uint64_t request, net::Answer answer) {
@@ -100,11 +100,11 @@
   reply(request, adapter.writeRefusal(refusal));
 }
 
-SubrequestContext RequestManager::Impl::contextOf(OpenRequest const& entry, std::size_t leg) const {
+SubrequestContext RequestManager::Impl::contextOf(OpenRequest const& entry, std::size_t shard) const {
   SubrequestContext context;
   context.request = entry.id;
-  context.service = entry.services[leg];
-  context.partition = entry.partitions.empty() ? "" : entry.partitions[leg];
+  context.service = entry.services[shard];
+  context.partition = entry.partitions.empty() ? "" : entry.partitions[shard];
   context.version = entry.snapshot->version.text();
   context.expectsShardResult = entry.search != nullptr;
   context.resultSize = entry.search == nullptr ? 0 : entry.search->resultSize;
@@ -227,16 +227,16 @@
   effects.emplace_back(CancelRequest{cancel.attempt});
 }
 
-void RequestManager::Impl::apply(dispatch::AcceptShardResult const& keep) {
-  OpenRequest& entry = openRequests.at(keep.request);
+void RequestManager::Impl::apply(dispatch::AcceptShardResult const& accepted) {
+  OpenRequest& entry = openRequests.at(accepted.request);
   if (entry.search != nullptr) {
-    entry.shardResults[keep.shard] = parsedResults.at(keep.attempt);
-    parsedResults.erase(keep.attempt);
+    entry.shardResults[accepted.shard] = parsedResults.at(accepted.attempt);
+    parsedResults.erase(accepted.attempt);
   } else {
-    entry.answer = std::move(answers.at(keep.attempt));
-    answers.erase(keep.attempt);
+    entry.answer = std::move(answers.at(accepted.attempt));
+    answers.erase(accepted.attempt);
   }
-  openAttempts.erase(keep.attempt);
+  openAttempts.erase(accepted.attempt);
 }
 
 void RequestManager::Impl::apply(dispatch::FinishRequest const& finish) {
@@ -263,11 +263,11 @@
     }
     reply(finish.request, std::move(answer));
   } else {
-    RefusalReason const why = finish.verdict == retry::Verdict::notRun ? RefusalReason::overloaded
-                              : finish.reason == "deadline"            ? RefusalReason::deadline
-                                                                       : RefusalReason::failed;
+    RefusalReason const kind = finish.verdict == retry::Verdict::notRun ? RefusalReason::overloaded
+                               : finish.reason == "deadline"            ? RefusalReason::deadline
+                                                                        : RefusalReason::failed;
     refuse(finish.request,
-           {why, finish.reason, finish.verdict, finish.retryAfter, entry.id, entry.snapshot->version.text()});
+           {kind, finish.reason, finish.verdict, finish.retryAfter, entry.id, entry.snapshot->version.text()});
   }
   openRequests.erase(found);
 }
@@ -299,7 +299,7 @@
     acceptAnswer(event, finished);
     return;
   }
-  SubrequestContext const context = contextOf(entry, found->second.leg);
+  SubrequestContext const context = contextOf(entry, found->second.shard);
   ParsedAnswer parsed = adapter.readAnswer(*exchange.answer, context);
   parsed.finished.attempt = event.attempt;
   if (!context.expectsShardResult) {
@@ -355,7 +355,7 @@
   } else {
     OpenAttempt const position = found->second;
     effects.emplace_back(dispatch::LogEntry{logging::Event::shardResultRejected,
-                                            openRequests.at(position.request).services[position.leg],
+                                            openRequests.at(position.request).services[position.shard],
                                             std::string(event.shardResult.status().message())});
     openAttempts.erase(found);
     stepDispatcher(finished);
--- a/libs/gateway/src/status_pages.cpp
+++ b/libs/gateway/src/status_pages.cpp
@@ -42,11 +42,11 @@
                         std::string const& self) {
   query::Table table{"nodes", {"node", "address", "zone", "slot", "heard_ms"}, {}};
   for (messages::RosterEntry const& entry : state.roster) {
-    std::int64_t heardMs = entry.node == self ? 0 : -1;
+    std::int64_t sinceHeardMs = entry.node == self ? 0 : -1;
     for (messages::Peer const& peer : peers) {
-      heardMs = peer.node == entry.node ? static_cast<std::int64_t>(peer.ageMs) : heardMs;
+      sinceHeardMs = peer.node == entry.node ? static_cast<std::int64_t>(peer.ageMs) : sinceHeardMs;
     }
-    table.rows.push_back({entry.node, entry.address, entry.zone, static_cast<std::int64_t>(entry.slot), heardMs});
+    table.rows.push_back({entry.node, entry.address, entry.zone, static_cast<std::int64_t>(entry.slot), sinceHeardMs});
   }
   return table;
 }
@@ -140,10 +140,10 @@
 }
 
 net::Answer GatewayServer::Impl::readinessPage() const {
-  std::string const why = notReadyReason(Clock::now());
-  return control::plain(why.empty() ? 200 : 503, std::string("{\"ready\":") + (why.empty() ? "true" : "false") +
-                                                     ",\"reason\":" + json(why) + ",\"node\":" + json(settings.node) +
-                                                     "}");
+  std::string const reason = notReadyReason(Clock::now());
+  return control::plain(reason.empty() ? 200 : 503, std::string("{\"ready\":") + (reason.empty() ? "true" : "false") +
+                                                        ",\"reason\":" + json(reason) +
+                                                        ",\"node\":" + json(settings.node) + "}");
 }
 
 net::Answer GatewayServer::Impl::currentConfiguration() const {
@@ -161,12 +161,12 @@
 net::Answer GatewayServer::Impl::statusPage() const {
   Clock::time_point const now = Clock::now();
   distribution::DeliveryStatus const status = delivery.status(now);
-  std::string const why = notReadyReason(now);
+  std::string const reason = notReadyReason(now);
   messages::State const state = delivery.state().value_or(messages::State{});
   std::string body =
       "{\"node\":" + json(settings.node) + ",\"role\":\"gateway\",\"zone\":" + json(settings.zone) +
-      ",\"fleet\":" + json(fleet) + ",\"ready\":" + (why.empty() ? "true" : "false") + ",\"reason\":" + json(why) +
-      ",\"standing\":" + json(nameOf(status.freshness)) +
+      ",\"fleet\":" + json(fleet) + ",\"ready\":" + (reason.empty() ? "true" : "false") +
+      ",\"reason\":" + json(reason) + ",\"standing\":" + json(nameOf(status.freshness)) +
       ",\"age_ms\":" + (status.ageMs == Ms::max() ? "null" : std::to_string(status.ageMs.count())) +
       ",\"state\":" + json(config::Version{state.epoch, state.sequence}.text()) +
       ",\"versions_behind\":" + std::to_string(status.versionsBehind) + ",\"version\":" +
--- a/libs/logging/include/limeramp/logging/logging.h
+++ b/libs/logging/include/limeramp/logging/logging.h
@@ -63,7 +63,7 @@
   std::string value;
 };
 
-void open(std::string const& program, std::string const& node, Level least);
+void open(std::string const& program, std::string const& node, Level minimum);
 void raise(Event event, std::initializer_list<Field> fields = {});
 
 }  // namespace limeramp::logging
--- a/libs/logging/src/logging.cpp
+++ b/libs/logging/src/logging.cpp
@@ -89,10 +89,10 @@
 
 std::span<EventInfo const> catalogue() { return events; }
 
-void open(std::string const& program, std::string const& node, Level least) {
+void open(std::string const& program, std::string const& node, Level minimum) {
   std::shared_ptr<spdlog::logger> const logger = spdlog::stderr_logger_mt(program + "@" + node);
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %n %v", spdlog::pattern_time_type::utc);
-  logger->set_level(levelOf(least));
+  logger->set_level(levelOf(minimum));
   logger->flush_on(spdlog::level::info);
   spdlog::set_default_logger(logger);
 }
--- a/libs/net/include/limeramp/net/ring.h
+++ b/libs/net/include/limeramp/net/ring.h
@@ -20,37 +20,37 @@
     if (closed_ || count_ + spare >= slots_.size()) {
       return false;
     }
-    place(std::move(value));
+    append(std::move(value));
     return true;
   }
 
   bool push(T value) {
     std::unique_lock<std::mutex> lock(mutex_);
-    roomier_.wait(lock, [this] { return closed_ || count_ < slots_.size(); });
+    notFull_.wait(lock, [this] { return closed_ || count_ < slots_.size(); });
     if (closed_) {
       return false;
     }
-    place(std::move(value));
+    append(std::move(value));
     return true;
   }
 
   std::optional<T> popUntil(std::chrono::steady_clock::time_point wake) {
     std::unique_lock<std::mutex> lock(mutex_);
-    fuller_.wait_until(lock, wake, [this] { return closed_ || count_ > 0; });
+    notEmpty_.wait_until(lock, wake, [this] { return closed_ || count_ > 0; });
     return take();
   }
 
   std::optional<T> pop() {
     std::unique_lock<std::mutex> lock(mutex_);
-    fuller_.wait(lock, [this] { return closed_ || count_ > 0; });
+    notEmpty_.wait(lock, [this] { return closed_ || count_ > 0; });
     return take();
   }
 
   void close() {
     std::unique_lock<std::mutex> const lock(mutex_);
     closed_ = true;
-    fuller_.notify_all();
-    roomier_.notify_all();
+    notEmpty_.notify_all();
+    notFull_.notify_all();
   }
 
   bool closed() const {
@@ -59,10 +59,10 @@
   }
 
  private:
-  void place(T value) {
+  void append(T value) {
     slots_[(first_ + count_) % slots_.size()].emplace(std::move(value));
     ++count_;
-    fuller_.notify_one();
+    notEmpty_.notify_one();
   }
 
   std::optional<T> take() {
@@ -73,13 +73,13 @@
     slots_[first_].reset();
     first_ = (first_ + 1) % slots_.size();
     --count_;
-    roomier_.notify_one();
+    notFull_.notify_one();
     return out;
   }
 
   mutable std::mutex mutex_;
-  std::condition_variable fuller_;
-  std::condition_variable roomier_;
+  std::condition_variable notEmpty_;
+  std::condition_variable notFull_;
   std::vector<std::optional<T>> slots_;
   std::size_t first_ = 0;
   std::size_t count_ = 0;
--- a/libs/net/src/answer_reader.cpp
+++ b/libs/net/src/answer_reader.cpp
@@ -19,13 +19,13 @@
   static constexpr std::string_view name = "timeout=";
   for (std::size_t at = 0; at < value.size();) {
     std::size_t const comma = std::min(value.find(',', at), value.size());
-    std::string_view word = value.substr(at, comma - at);
+    std::string_view interimAnswer = value.substr(at, comma - at);
     at = comma + 1;
-    word.remove_prefix(std::min(word.find_first_not_of(" \t"), word.size()));
-    if (word.size() > name.size() && beast::iequals(word.substr(0, name.size()), name)) {
+    interimAnswer.remove_prefix(std::min(interimAnswer.find_first_not_of(" \t"), interimAnswer.size()));
+    if (interimAnswer.size() > name.size() && beast::iequals(interimAnswer.substr(0, name.size()), name)) {
       std::uint32_t seconds = 0;
-      char const* const last = word.data() + word.size();
-      std::from_chars_result const read = std::from_chars(word.data() + name.size(), last, seconds);
+      char const* const last = interimAnswer.data() + interimAnswer.size();
+      std::from_chars_result const read = std::from_chars(interimAnswer.data() + name.size(), last, seconds);
       if (read.ec == std::errc()) {
         return std::chrono::seconds(seconds);
       }
@@ -90,7 +90,7 @@
   if (progress == Progress::wrong) {
     return progress;
   }
-  if (progress == Progress::whole) {
+  if (progress == Progress::complete) {
     clean_ = bytes.empty() && parser_->keep_alive();
     relax(unread_, keptBytes);
     return progress;
@@ -127,7 +127,7 @@
       return fail(error.message());
     }
   }
-  return parser_->is_done() ? Progress::whole : Progress::partial;
+  return parser_->is_done() ? Progress::complete : Progress::partial;
 }
 
 AnswerReader::Progress AnswerReader::readHead(std::string_view bytes, std::size_t& used) {
--- a/libs/net/src/answer_reader.h
+++ b/libs/net/src/answer_reader.h
@@ -14,7 +14,7 @@
 /// answer that belongs to another request is an error.
 class AnswerReader {
  public:
-  enum class Progress { partial, whole, wrong };
+  enum class Progress { partial, complete, wrong };
 
   /// Forgets the last answer and expects the one to `request`, which must outlive it.
   void expect(Request const& request, std::size_t maxBodyBytes);
--- a/libs/net/src/client_exchange.cpp
+++ b/libs/net/src/client_exchange.cpp
@@ -147,7 +147,7 @@
   switch (connection->reader.take(received)) {
     case AnswerReader::Progress::partial:
       return true;
-    case AnswerReader::Progress::whole:
+    case AnswerReader::Progress::complete:
       answered(connection);
       break;
     case AnswerReader::Progress::wrong:
--- a/libs/net/src/network.cpp
+++ b/libs/net/src/network.cpp
@@ -93,9 +93,9 @@
 }
 
 Network::TimerId Network::every(std::chrono::steady_clock::duration period, std::function<void()> work) {
-  std::chrono::steady_clock::duration const least = std::chrono::milliseconds(1);
-  return impl_->schedule(std::chrono::steady_clock::now() + std::max(period, least),
-                         {std::move(work), std::max(period, least)});
+  std::chrono::steady_clock::duration const shortest = std::chrono::milliseconds(1);
+  return impl_->schedule(std::chrono::steady_clock::now() + std::max(period, shortest),
+                         {std::move(work), std::max(period, shortest)});
 }
 
 void Network::cancel(TimerId timer) {
--- a/libs/net/src/network.h
+++ b/libs/net/src/network.h
@@ -39,7 +39,7 @@
   std::atomic<TimerId> lastTimer{0};
   std::vector<char> landing;
   std::string output;
-  std::unordered_set<std::shared_ptr<void>> held;
+  std::unordered_set<std::shared_ptr<void>> registered;
 };
 
 /// Runs `work` on the thread of a network: at once if this is it, and not at all if the network is gone.
--- a/libs/net/src/request_reader.cpp
+++ b/libs/net/src/request_reader.cpp
@@ -20,7 +20,7 @@
 RequestReader::Progress RequestReader::take(std::string_view bytes, std::size_t& used, ServerBounds const& bounds) {
   if (!parser_) {
     Progress const progress = readHead(bytes.substr(used), used, bounds);
-    if (progress != Progress::whole) {
+    if (progress != Progress::complete) {
       return progress;
     }
   }
@@ -32,7 +32,7 @@
   if (state == Head::wrong) {
     return refuse(400, "malformed head");
   }
-  if ((state == Head::whole ? scan_.size : head.size()) > bounds.maxHeaderBytes) {
+  if ((state == Head::complete ? scan_.size : head.size()) > bounds.maxHeaderBytes) {
     return refuse(431, "the head is too long");
   }
   if (state == Head::partial) {
@@ -64,7 +64,7 @@
     headers_.emplace_back(std::string(field.name_string()), std::string(field.value()));
   }
   parser_->eager(true);
-  return Progress::whole;
+  return Progress::complete;
 }
 
 RequestReader::Progress RequestReader::readBody(std::string_view body, std::size_t& used, ServerBounds const& bounds) {
@@ -80,7 +80,7 @@
       return refuse(400, "malformed chunk");
     }
   }
-  return parser_->is_done() ? Progress::whole : Progress::partial;
+  return parser_->is_done() ? Progress::complete : Progress::partial;
 }
 
 RequestReader::Progress RequestReader::refuse(int status, std::string reason) {
--- a/libs/net/src/request_reader.h
+++ b/libs/net/src/request_reader.h
@@ -14,7 +14,7 @@
 /// refused has not been handed to anybody.
 class RequestReader {
  public:
-  enum class Progress { partial, whole, refused };
+  enum class Progress { partial, complete, refused };
 
   /// What is answered to a request that is refused.
   struct Refusal {
--- a/libs/net/src/server_connection.cpp
+++ b/libs/net/src/server_connection.cpp
@@ -57,9 +57,9 @@
 }
 
 void HttpServer::Impl::release(ConnectionPtr const& connection) {
-  if (connection->held) {
-    connection->held = false;
-    network.held.erase(connection);
+  if (connection->registered) {
+    connection->registered = false;
+    network.registered.erase(connection);
   }
 }
 
@@ -95,9 +95,9 @@
   }
   bool const busy = phase == ServerPhase::handling || phase == ServerPhase::writing;
   if (connection->ended || (busy && connection->input.size() >= pipelinedBytes)) {
-    if (phase == ServerPhase::handling && !connection->held) {
-      connection->held = true;
-      network.held.insert(connection);
+    if (phase == ServerPhase::handling && !connection->registered) {
+      connection->registered = true;
+      network.registered.insert(connection);
     }
     return;
   }
@@ -171,9 +171,9 @@
   connection->pumping = true;
   while (!bytes.empty() && (connection->phase == ServerPhase::idle || connection->phase == ServerPhase::reading)) {
     std::size_t used = 0;
-    bool const whole = advance(connection, bytes, used);
+    bool const complete = advance(connection, bytes, used);
     bytes.remove_prefix(used);
-    if (!whole) {
+    if (!complete) {
       break;
     }
   }
@@ -198,7 +198,7 @@
   }
   RequestReader& reader = connection->reader;
   switch (reader.take(bytes, used, options.bounds)) {
-    case RequestReader::Progress::whole:
+    case RequestReader::Progress::complete:
       handle(connection);
       return true;
     case RequestReader::Progress::refused:
@@ -232,10 +232,11 @@
 }
 
 void HttpServer::Impl::tellToContinue(ConnectionPtr const& connection) {
-  static constexpr std::string_view word = "HTTP/1.1 100 Continue\r\n\r\n";
+  static constexpr std::string_view interimAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
   boost::system::error_code error;
-  std::size_t const sent = connection->socket.write_some(asio::buffer(word.data(), word.size()), error);
-  if (!error && sent < word.size()) {
+  std::size_t const sent =
+      connection->socket.write_some(asio::buffer(interimAnswer.data(), interimAnswer.size()), error);
+  if (!error && sent < interimAnswer.size()) {
     close(connection);
   }
 }
@@ -282,11 +283,11 @@
     close(connection);
     return;
   }
-  bool const wished = connection->framing.keep;
-  connection->framing.keep = wished && !stopping && !draining;
-  connection->closing = !connection->framing.keep;
+  bool const keepsAlive = connection->framing.keepAlive;
+  connection->framing.keepAlive = keepsAlive && !stopping && !draining;
+  connection->closing = !connection->framing.keepAlive;
   writeAnswer(network.output, *answer, connection->framing);
-  connection->framing.keep = wished;
+  connection->framing.keepAlive = keepsAlive;
   send(connection);
 }
 
@@ -296,7 +297,7 @@
   connection->framing = {11, false, false};
   writeAnswer(network.output, options.refuse ? options.refuse(status, reason) : refusalInJson(status, reason),
               connection->framing);
-  connection->framing.keep = true;
+  connection->framing.keepAlive = true;
   send(connection);
 }
 
@@ -335,7 +336,7 @@
 
 void HttpServer::Impl::written(ConnectionPtr const& connection) {
   if (connection->closing) {
-    bool const callersWish = !connection->framing.keep && connection->input.empty();
+    bool const callersWish = !connection->framing.keepAlive && connection->input.empty();
     if (connection->ended || callersWish) {
       close(connection);
     } else {
--- a/libs/net/src/server_impl.h
+++ b/libs/net/src/server_impl.h
@@ -96,7 +96,7 @@
   /// The caller sends nothing more.
   bool ended = false;
   /// Kept alive by the network while nothing is read and a request is in hand.
-  bool held = false;
+  bool registered = false;
   /// The connection ends after the answer that is being written.
   bool closing = false;
   std::array<char, landingBytes> landing;
--- a/libs/net/src/wire.cpp
+++ b/libs/net/src/wire.cpp
@@ -79,7 +79,7 @@
     }
     if (line.empty() && !first) {
       scan.size = end + 1;
-      return Head::whole;
+      return Head::complete;
     }
     if (!isGood(line, first)) {
       return Head::wrong;
@@ -96,15 +96,16 @@
       beast::http::obsolete_reason(beast::http::int_to_status(static_cast<unsigned>(std::max(answer.status, 0)))));
   out.append("\r\n");
   writeHeaders(out, answer.headers);
-  if (!framing.keep) {
+  if (!framing.keepAlive) {
     writeHeader(out, "Connection", "close");
   } else if (framing.version == 10) {
     writeHeader(out, "Connection", "keep-alive");
   }
   if (!never) {
-    std::optional<std::string> const told =
+    std::optional<std::string> const announced =
         framing.bodiless && answer.body.empty() ? findHeader(answer.headers, "content-length") : std::nullopt;
-    writeHeader(out, "Content-Length", told && !breaks(*told) ? *told : std::to_string(answer.body.size()));
+    writeHeader(out, "Content-Length",
+                announced && !breaks(*announced) ? *announced : std::to_string(answer.body.size()));
   }
   out.append("\r\n");
   if (!never && !framing.bodiless) {
--- a/libs/net/src/wire.h
+++ b/libs/net/src/wire.h
@@ -7,7 +7,7 @@
 
 namespace limeramp::net {
 
-enum class Head { partial, whole, wrong };
+enum class Head { partial, complete, wrong };
 
 struct HeadScan {
   std::size_t line = 0;
@@ -16,7 +16,7 @@
 
 struct Framing {
   unsigned version = 11;
-  bool keep = true;
+  bool keepAlive = true;
   bool bodiless = false;
 };
 
--- a/libs/replication/src/acceptor.cpp
+++ b/libs/replication/src/acceptor.cpp
@@ -6,7 +6,7 @@
 
 std::uint64_t Acceptor::highestRound() const { return std::max(promisedBallot.round, acceptedBallot.round); }
 
-messages::PrepareResponse Acceptor::promise(messages::Ballot const& ballot) {
+messages::PrepareResponse Acceptor::prepare(messages::Ballot const& ballot) {
   messages::PrepareResponse answer{nextEpoch(),    ballot,         ballot >= promisedBallot,
                                    promisedBallot, acceptedBallot, accepted};
   promisedBallot = std::max(promisedBallot, ballot);
--- a/libs/replication/src/acceptor.h
+++ b/libs/replication/src/acceptor.h
@@ -27,7 +27,7 @@
   std::uint64_t highestRound() const;
 
   /// Promises to take part in no lower ballot. Where the answer is granted, sync this before sending it.
-  messages::PrepareResponse promise(messages::Ballot const& ballot);
+  messages::PrepareResponse prepare(messages::Ballot const& ballot);
   /// Accepts the record unless a higher ballot was promised. Where the answer is granted, sync this before sending it.
   messages::AcceptResponse accept(messages::Ballot const& ballot, messages::EpochRecord const& record);
   /// Takes over a record that was decided; the vote on it is settled and a vote on the next one begins.
--- a/libs/replication/src/epoch_change.cpp
+++ b/libs/replication/src/epoch_change.cpp
@@ -220,7 +220,7 @@
   std::vector<std::string> const voters = proposal.voters;
   proposal.sentAt = now;
   for (std::string const& voter : voters) {
-    if (proposal.yes.contains(voter)) {
+    if (proposal.grantedBy.contains(voter)) {
       continue;
     }
     send(voter, message);
@@ -249,7 +249,7 @@
     return;
   }
   highestRound = std::max(highestRound, message.ballot.round);
-  messages::PrepareResponse const answer = acceptor.promise(message.ballot);
+  messages::PrepareResponse const answer = acceptor.prepare(message.ballot);
   if (!answer.granted) {
     send(from, answer);
     return;
@@ -266,8 +266,8 @@
   if (!message.granted) {
     return;
   }
-  proposal.countPromise(from, message);
-  if (proposal.yes.size() >= quorum()) {
+  proposal.countPrepareResponse(from, message);
+  if (proposal.grantedBy.size() >= quorum()) {
     beginAccept();
   }
 }
@@ -295,8 +295,8 @@
   if (!message.granted) {
     return;
   }
-  proposal.yes.insert(from);
-  if (proposal.yes.size() >= quorum()) {
+  proposal.grantedBy.insert(from);
+  if (proposal.grantedBy.size() >= quorum()) {
     messages::EpochRecord const record = proposal.record;
     adoptEpoch(record);
     heartbeatAll();
--- a/libs/replication/src/epoch_proposal.cpp
+++ b/libs/replication/src/epoch_proposal.cpp
@@ -7,21 +7,21 @@
   ballot = newBallot;
   best.reset();
   bestBallot = {};
-  yes.clear();
+  grantedBy.clear();
   retryAt = retry;
 }
 
-void EpochProposal::countPromise(std::string const& from, messages::PrepareResponse const& promise) {
-  if (promise.accepted && (!best || promise.acceptedBallot > bestBallot)) {
-    best = promise.accepted;
-    bestBallot = promise.acceptedBallot;
+void EpochProposal::countPrepareResponse(std::string const& from, messages::PrepareResponse const& response) {
+  if (response.accepted && (!best || response.acceptedBallot > bestBallot)) {
+    best = response.accepted;
+    bestBallot = response.acceptedBallot;
   }
-  yes.insert(from);
+  grantedBy.insert(from);
 }
 
 void EpochProposal::accept() {
   stage = ProposalStage::accepting;
-  yes.clear();
+  grantedBy.clear();
   if (best) {
     record = *best;
   }
@@ -42,7 +42,7 @@
   digest.add(bestBallot);
   digest.add(best);
   digest.add(voters);
-  digest.add(yes);
+  digest.add(grantedBy);
   digest.add(retryAt);
 }
 
--- a/libs/replication/src/epoch_proposal.h
+++ b/libs/replication/src/epoch_proposal.h
@@ -37,13 +37,13 @@
   messages::Ballot bestBallot;
   std::optional<messages::EpochRecord> best;
   std::vector<std::string> voters;
-  std::set<std::string> yes;
+  std::set<std::string> grantedBy;
   TimePoint retryAt{};
 
   /// Begins the first phase of a new ballot.
   void prepare(messages::Ballot const& newBallot, TimePoint retry);
   /// Counts a promise, and keeps the accepted record of the highest ballot: that one may have been decided already.
-  void countPromise(std::string const& from, messages::PrepareResponse const& promise);
+  void countPrepareResponse(std::string const& from, messages::PrepareResponse const& response);
   /// Begins the second phase, with the record that was found accepted if there is one.
   void accept();
 
--- a/libs/replication/src/founding.cpp
+++ b/libs/replication/src/founding.cpp
@@ -13,10 +13,9 @@
 }  // namespace
 
 void ReplicationGroup::Impl::tryFounding() {
-  std::vector<std::string>::const_iterator const turn =
-      std::lower_bound(founders.begin(), founders.end(), self.address);
+  std::vector<std::string>::const_iterator const own = std::lower_bound(founders.begin(), founders.end(), self.address);
   if (!mayVote() || shuttingDown() ||
-      now - epochStableSince < options.lostMs + options.founderStaggerMs * (turn - founders.begin())) {
+      now - epochStableSince < options.lostMs + options.founderStaggerMs * (own - founders.begin())) {
     return;
   }
   std::map<std::string, std::pair<TimePoint, std::string>> voters{{self.address, {now, self.id}}};
--- a/libs/storage/src/record_store.cpp
+++ b/libs/storage/src/record_store.cpp
@@ -112,9 +112,9 @@
     out.torn = raw.magic == magicNumber && (!out.checkpoint || raw.generation == out.generation);
   }
   for (std::size_t later = at + 8; later + sizeof(Head) <= bytes.size(); later += 8) {
-    std::uint32_t mark = 0;
-    std::memcpy(&mark, bytes.data() + later, sizeof mark);
-    if (mark != magicNumber) {
+    std::uint32_t word = 0;
+    std::memcpy(&word, bytes.data() + later, sizeof word);
+    if (word != magicNumber) {
       continue;
     }
     std::optional<Head> const head = headAt(bytes, later);
--- a/programs/trace.cpp
+++ b/programs/trace.cpp
@@ -200,7 +200,7 @@
                 "state");
     long worst = 0;
     std::size_t lagging = 0;
-    std::size_t silent = 0;
+    std::size_t unresponsive = 0;
     for (std::pair<std::string const, NodeView> const& entry : watch.nodes) {
       NodeView const& node = entry.second;
       std::function<std::string(std::optional<Clock::time_point> const&)> const since =
@@ -212,7 +212,7 @@
                                 : !node.replica ? "keeps no copy"
                                 : node.inForce  ? "in force"
                                                 : "at " + node.version.text() + " " + node.freshness;
-      silent += node.answered ? 0 : 1;
+      unresponsive += node.answered ? 0 : 1;
       lagging += lags ? 1 : 0;
       if (node.inForce) {
         worst = std::max<long>(worst, std::chrono::duration_cast<Ms>(*node.inForce - *first).count());
@@ -221,8 +221,8 @@
                   node.zone.c_str(), since(node.stored).c_str(), since(node.inForce).c_str(), state.c_str());
     }
     std::printf("nodes %zu, lagging %zu, not heard %zu, last in force after %ld ms\n", watch.nodes.size(), lagging,
-                silent, worst);
-    return lagging + silent == 0 ? 0 : 1;
+                unresponsive, worst);
+    return lagging + unresponsive == 0 ? 0 : 1;
   } catch (cxxopts::exceptions::exception const& wrong) {
     std::cerr << "limeramp-trace: " << wrong.what() << '\n';
     return 2;
--- a/testside/fault_proxy.cpp
+++ b/test_support/fault_proxy.cpp
@@ -117,7 +117,7 @@
         return 1;
       }
     }
-    return testside::standUntilEnded(
+    return test_support::standUntilEnded(
         "fault_proxy", flags["listen"].as<std::string>(),
         [&wall](net::Request request, net::Responder respond) { respond(wall.control(request.body)); });
   } catch (cxxopts::exceptions::exception const& wrong) {
--- a/testside/load_generator.cpp
+++ b/test_support/load_generator.cpp
@@ -95,7 +95,7 @@
   std::vector<std::string> expected;
   for (std::string const& shard : shards) {
     for (std::size_t index = 0; index < call.records; ++index) {
-      expected.push_back(testside::recordOf(target, shard, index));
+      expected.push_back(test_support::recordOf(target, shard, index));
     }
   }
   std::sort(expected.rbegin(), expected.rend());
--- a/testside/message_sizes.h
+++ b/test_support/message_sizes.h
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <string>
 
-namespace limeramp::testside {
+namespace limeramp::test_support {
 
 inline std::string recordOf(std::string const& target, std::string const& shard, std::size_t index) {
   std::uint64_t const seed = XXH64(target.data(), target.size(), XXH64(shard.data(), shard.size(), 0));
@@ -17,4 +17,4 @@
   return record + std::string("/") + shard;
 }
 
-}  // namespace limeramp::testside
+}  // namespace limeramp::test_support
--- a/testside/stub_instance_list.cpp
+++ b/test_support/stub_instance_list.cpp
@@ -81,7 +81,7 @@
     std::stringstream text;
     text << file.rdbuf();
     board.raw = text.str();
-    return testside::standUntilEnded(
+    return test_support::standUntilEnded(
         "stub_instance_list", flags["listen"].as<std::string>(),
         [&board](net::Request request, net::Responder respond) { respond(board.serve(request)); });
   } catch (cxxopts::exceptions::exception const& wrong) {
--- a/testside/stub_program.h
+++ b/test_support/stub_program.h
@@ -6,7 +6,7 @@
 #include <iostream>
 #include <string>
 
-namespace limeramp::testside {
+namespace limeramp::test_support {
 
 inline int standUntilEnded(std::string const& program, std::string const& listen, net::HttpServer::Handler handler) {
   std::optional<net::Address> const address = net::Address::parse(listen);
@@ -33,4 +33,4 @@
   return 0;
 }
 
-}  // namespace limeramp::testside
+}  // namespace limeramp::test_support
--- a/testside/stub_server.cpp
+++ b/test_support/stub_server.cpp
@@ -151,7 +151,7 @@
   std::string body =
       "{\"stamp\":{\"shard\":" + json(shard) + ",\"cut\":" + json(cut) + ",\"request\":" + json(id) + "},\"records\":[";
   for (std::size_t index = 0; index < records; ++index) {
-    body += (index == 0 ? "" : ",") + json(testside::recordOf(request.target, shard, index));
+    body += (index == 0 ? "" : ",") + json(test_support::recordOf(request.target, shard, index));
   }
   answer.body = body + "]}";
   return answer;
@@ -247,7 +247,7 @@
     if (!flags["log"].as<std::string>().empty()) {
       stall.log.open(flags["log"].as<std::string>(), std::ios::app);
     }
-    return testside::standUntilEnded("stub_server", stall.address,
+    return test_support::standUntilEnded("stub_server", stall.address,
                                      [&stall](net::Request request, net::Responder respond) {
                                        stall.serve(std::move(request), std::move(respond));
                                      });
--- a/tests/audit_check.py
+++ b/tests/audit_check.py
@@ -10,7 +10,7 @@
 
 HERE = os.path.dirname(os.path.abspath(__file__))
 sys.dont_write_bytecode = True
-loader = importlib.machinery.SourceFileLoader("fleet", os.path.join(HERE, "..", "testside", "fleet"))
+loader = importlib.machinery.SourceFileLoader("fleet", os.path.join(HERE, "..", "test_support", "fleet"))
 fleet = importlib.util.module_from_spec(importlib.util.spec_from_loader("fleet", loader))
 loader.exec_module(fleet)
 
--- a/tests/protocol_adapter_test.cpp
+++ b/tests/protocol_adapter_test.cpp
@@ -60,7 +60,7 @@
 }
 
 net::Answer writeRefusal(Refusal const& refusal) {
-  return {500 + static_cast<int>(refusal.why),
+  return {500 + static_cast<int>(refusal.kind),
           {{"x-verdict", std::string(retry::nameOf(refusal.verdict))}},
           refusal.reason};
 }
--- a/tests/replication_parts_test.cpp
+++ b/tests/replication_parts_test.cpp
@@ -23,12 +23,12 @@
 TEST(Acceptor, PromisesAndAcceptsInRisingOrderAndReportsWhatItAcceptedLast) {
   Acceptor acceptor;
   acceptor.adopt({1, "fleet", "a", {"b"}, {"a", "b", "c"}});
-  EXPECT_TRUE(acceptor.promise({2, "a"}).granted);
-  EXPECT_FALSE(acceptor.promise({1, "b"}).granted);
+  EXPECT_TRUE(acceptor.prepare({2, "a"}).granted);
+  EXPECT_FALSE(acceptor.prepare({1, "b"}).granted);
   EXPECT_FALSE(acceptor.accept({1, "b"}, recordWithPrimary("b")).granted);
   EXPECT_FALSE(acceptor.accepted.has_value());
   EXPECT_TRUE(acceptor.accept({2, "a"}, recordWithPrimary("a")).granted);
-  messages::PrepareResponse const answer = acceptor.promise({3, "b"});
+  messages::PrepareResponse const answer = acceptor.prepare({3, "b"});
   EXPECT_TRUE(answer.granted);
   EXPECT_EQ(answer.nextEpoch, 2u);
   EXPECT_EQ(answer.acceptedBallot, (messages::Ballot{2, "a"}));
@@ -61,7 +61,7 @@
       messages::PrepareResponse promise;
       promise.acceptedBallot = {higher ? 6u : 5u, "x"};
       promise.accepted = recordWithPrimary(higher ? "higher" : "lower");
-      proposal.countPromise(turn == 0 ? "b" : "c", promise);
+      proposal.countPrepareResponse(turn == 0 ? "b" : "c", promise);
     }
     proposal.accept();
     EXPECT_EQ(proposal.record.primary, "higher");
@@ -69,7 +69,7 @@
   EpochProposal alone;
   alone.record = recordWithPrimary("own");
   alone.prepare({9, "a"}, start);
-  alone.countPromise("b", {});
+  alone.countPrepareResponse("b", {});
   alone.accept();
   EXPECT_EQ(alone.record.primary, "own");
 }
