--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,4 +1,5 @@
 #include <limeramp/distribution/peer_views.h>
+#include <limeramp/distribution/rendezvous_hash.h>
 #include <limeramp/replication/replication_group.h>
 
 #include <deque>
--- /dev/null
+++ b/libs/control/src/acknowledgement_tracker.cpp
@@ -0,0 +1,45 @@
+#include "acknowledgement_tracker.h"
+
+#include <utility>
+
+namespace limeramp::control {
+namespace {
+
+std::vector<PendingAcknowledgement> takeIf(std::vector<PendingAcknowledgement>& pending,
+                                           AcknowledgementTracker::InForce const& wanted) {
+  std::vector<PendingAcknowledgement> out;
+  std::erase_if(pending, [&](PendingAcknowledgement const& entry) {
+    bool const taken = wanted(entry);
+    if (taken) {
+      out.push_back(entry);
+    }
+    return taken;
+  });
+  return out;
+}
+
+}  // namespace
+
+std::vector<PendingAcknowledgement> AcknowledgementTracker::takeInForce(InForce const& inForce) {
+  return takeIf(pending_, inForce);
+}
+
+std::vector<PendingAcknowledgement> AcknowledgementTracker::takeExpired(TimePoint now) {
+  return takeIf(pending_, [now](PendingAcknowledgement const& entry) { return now >= entry.deadline; });
+}
+
+std::vector<PendingAcknowledgement> AcknowledgementTracker::takeAll() { return std::exchange(pending_, {}); }
+
+void AcknowledgementTracker::digest(messages::StateDigest& digest) const {
+  digest.add(pending_.size());
+  for (PendingAcknowledgement const& entry : pending_) {
+    digest.add(entry.ticket);
+    digest.add(entry.stateVersion.epoch);
+    digest.add(entry.stateVersion.sequence);
+    digest.add(entry.since);
+    digest.add(entry.deadline);
+    digest.add(entry.arrivedAt.value_or(TimePoint{}));
+  }
+}
+
+}  // namespace limeramp::control
--- a/libs/control/src/config_service.cpp
+++ b/libs/control/src/config_service.cpp
@@ -1,10 +1,13 @@
 #include "limeramp/control/config_service.h"
 
+#include "acknowledgement_tracker.h"
 #include "limeramp/control/answer_gate.h"
 #include "limeramp/control/order_evaluator.h"
 #include "limeramp/distribution/state_feed.h"
 #include "limeramp/messages/state_digest.h"
+#include "node_removals.h"
 #include "node_tracker.h"
+#include "order_queue.h"
 #include "roster_planner.h"
 
 #include <algorithm>
@@ -18,34 +21,19 @@
 
 using Ms = std::chrono::milliseconds;
 
-struct NodeRemoval {
-  std::uint64_t ticket = 0;
-  std::set<std::string> nodes;
-  TimePoint arrivedAt{};
-  TimePoint deadline{};
-};
-
-/// An order that is taken, and is acknowledged once enough nodes have it in force.
-struct PendingAcknowledgement {
-  std::uint64_t ticket = 0;
-  StateVersion stateVersion;
-  config::Version version;
-  TimePoint since{};
-  TimePoint deadline{};
-  /// Set if nothing was replicated for this order: the leadership must be confirmed as of this time.
-  std::optional<TimePoint> arrivedAt;
-};
-
-struct QueuedOrder {
-  Change order;
-  TimePoint arrivedAt{};
-};
+/// Why an order cannot be carried out here now. Nothing of it has run, so the caller may try another node.
+enum class OrderObstacle { notPrimary, backupUnresponsive, shuttingDown };
 
-void digestOrder(messages::StateDigest& digest, Change const& order) {
-  digest.add(order.ticket);
-  digest.add(order.id);
-  digest.add(order.body);
-  digest.add(order.deadline);
+std::string textOf(OrderObstacle obstacle) {
+  switch (obstacle) {
+    case OrderObstacle::notPrimary:
+      return "this node is not the primary";
+    case OrderObstacle::backupUnresponsive:
+      return "the backup is not heard";
+    case OrderObstacle::shuttingDown:
+      return "this node is leaving";
+  }
+  return "";
 }
 
 }  // namespace
@@ -68,13 +56,13 @@
   TimePoint publishedAt{};
   NodeTracker tracker{options};
   distribution::StateFeed feed;
-  std::vector<NodeRemoval> removals;
-  std::deque<QueuedOrder> queue;
+  NodeRemovals removals;
+  OrderQueue queue;
   std::optional<Change> inProgress;
   bool inProgressAnswered = false;
   std::uint64_t lastOwnTicket = 1ULL << 60;
   std::uint64_t inProgressTicket = 0;
-  std::vector<PendingAcknowledgement> acknowledgements;
+  AcknowledgementTracker acknowledgements;
   AnswerGate reads;
   AnswerGate refusals;
   bool rosterStable = false;
@@ -101,9 +89,16 @@
   /// that would not come; what may be answered is decided by `confirmedSince` alone.
   bool isUnconfirmed() const { return now - confirmedAt.value_or(activeAt) > options.leadershipConfirmationMs; }
   bool mayLead() const { return active && !isUnconfirmed(); }
-  /// Why this node cannot carry out an order now; empty if it can.
-  std::string whyNot() const {
-    return !active ? "this node is not the primary" : isUnconfirmed() ? "the backup is not heard" : "";
+  /// Why this node cannot carry out an order now; nothing if it can.
+  std::optional<OrderObstacle> orderObstacle() const {
+    return shuttingDown ? OrderObstacle::shuttingDown : readObstacle();
+  }
+  /// The same for a read, which is answered during a shutdown too.
+  std::optional<OrderObstacle> readObstacle() const {
+    if (!active) {
+      return OrderObstacle::notPrimary;
+    }
+    return isUnconfirmed() ? std::optional(OrderObstacle::backupUnresponsive) : std::nullopt;
   }
   std::size_t waitingAnswers() const { return acknowledgements.size() + refusals.size() + removals.size(); }
   bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted) const {
@@ -125,6 +120,7 @@
   void deferRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline, OrderOutcome refusal);
   void rejectQueued(std::string const& reason);
   void completeAcknowledged();
+  bool inForce(PendingAcknowledgement const& entry) const;
   void releaseConfirmed();
   void expire();
   messages::StateResponse response(messages::StateRequest const& poll,
@@ -152,26 +148,15 @@
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const& group, RemoveNodes const& event) {
-  if (std::string const reason = shuttingDown ? "this node is leaving" : whyNot(); !reason.empty()) {
-    decide(event.ticket, OrderStatus::notRun, reason);
+  if (std::optional<OrderObstacle> const obstacle = orderObstacle()) {
+    decide(event.ticket, OrderStatus::notRun, textOf(*obstacle));
     return;
   }
   if (removals.size() >= options.maxChanges || waitingAnswers() >= options.maxWaitingAnswers) {
     decide(event.ticket, OrderStatus::notRun, "too many changes wait");
     return;
   }
-  std::vector<config::Problem> problems;
-  for (std::string const& node : event.nodes) {
-    bool const listed = std::any_of(published.roster.begin(), published.roster.end(),
-                                    [&](messages::RosterEntry const& entry) { return entry.node == node; });
-    bool const prior = std::any_of(published.priorRoster.begin(), published.priorRoster.end(),
-                                   [&](messages::RosterEntry const& entry) { return entry.node == node; });
-    if (!listed && !prior) {
-      problems.push_back({"/nodes/" + node, "is not on the roster"});
-    } else if (tracker.isAlive(now, node)) {
-      problems.push_back({"/nodes/" + node, "is alive"});
-    }
-  }
+  std::vector<config::Problem> problems = removalProblems(now, event.nodes, published, tracker);
   if (!problems.empty()) {
     deferRefusal(event.ticket, now, event.deadline, {event.ticket, OrderStatus::refused, {}, std::move(problems), ""});
     return;
@@ -179,26 +164,25 @@
   for (std::string const& node : event.nodes) {
     tracker.markRemoved(node);
   }
-  removals.push_back({event.ticket, {event.nodes.begin(), event.nodes.end()}, now, event.deadline});
+  removals.add({event.ticket, {event.nodes.begin(), event.nodes.end()}, now, event.deadline});
   nextRosterAt = now;
   completeAcknowledged();
   startNext(group);
 }
 
 void ConfigService::Impl::completeRemovals() {
-  std::erase_if(removals, [&](NodeRemoval const& entry) {
+  config::Version const version{published.configurationEpoch, published.configurationSequence};
+  NodeRemovals::Completed const completed = [&](NodeRemoval const& entry) {
     bool const listed = std::any_of(published.roster.begin(), published.roster.end(),
                                     [&](messages::RosterEntry const& row) { return entry.nodes.contains(row.node); });
-    if (rosterStable && !listed && confirmedSince(confirmedAt, entry.arrivedAt)) {
-      decide(entry.ticket, OrderStatus::taken, "", {published.configurationEpoch, published.configurationSequence});
-      return true;
-    }
-    if (now >= entry.deadline) {
-      decide(entry.ticket, OrderStatus::unknown, "the roster without these nodes is not known to a majority yet");
-      return true;
-    }
-    return false;
-  });
+    return rosterStable && !listed && confirmedSince(confirmedAt, entry.arrivedAt);
+  };
+  for (NodeRemoval const& entry : removals.takeCompleted(completed)) {
+    decide(entry.ticket, OrderStatus::taken, "", version);
+  }
+  for (NodeRemoval const& entry : removals.takeExpired(now)) {
+    decide(entry.ticket, OrderStatus::unknown, "the roster without these nodes is not known to a majority yet");
+  }
 }
 
 void ConfigService::Impl::recordReport(messages::Follower const& follower, messages::PeerStatus const& peerStatus,
@@ -265,20 +249,18 @@
 void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::SteppedDown const&) {
   active = false;
   rejectQueued("the primary changed before the change was begun");
-  for (PendingAcknowledgement const& entry : acknowledgements) {
+  for (PendingAcknowledgement const& entry : acknowledgements.takeAll()) {
     decide(entry.ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
   }
-  acknowledgements.clear();
   for (AnswerGate* const gate : {&reads, &refusals}) {
     for (PendingAnswer const& pending : gate->takeAll()) {
-      decide(pending.ticket, OrderStatus::notRun, "this node is not the primary");
+      decide(pending.ticket, OrderStatus::notRun, textOf(OrderObstacle::notPrimary));
     }
   }
-  for (NodeRemoval const& entry : removals) {
+  for (NodeRemoval const& entry : removals.takeAll()) {
     decide(entry.ticket, OrderStatus::unknown,
            "the primary changed before the roster was known to be without these nodes");
   }
-  removals.clear();
   tracker.end();
 }
 
@@ -287,8 +269,7 @@
   if (event.ticket == inProgressTicket && inProgress) {
     config::Version const version{published.configurationEpoch, published.configurationSequence};
     if (!inProgressAnswered) {
-      acknowledgements.push_back(
-          {inProgress->ticket, stateVersion(), version, now, inProgress->deadline, std::nullopt});
+      acknowledgements.add({inProgress->ticket, stateVersion(), version, now, inProgress->deadline, std::nullopt});
     }
     effects.emplace_back(
         replication::LogEntry{logging::Event::configurationTaken, version.text() + " change " + inProgress->id});
@@ -315,21 +296,21 @@
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const& group, Change const& event) {
-  if (std::string const reason = shuttingDown ? "this node is leaving" : whyNot(); !reason.empty()) {
-    decide(event.ticket, OrderStatus::notRun, reason);
+  if (std::optional<OrderObstacle> const obstacle = orderObstacle()) {
+    decide(event.ticket, OrderStatus::notRun, textOf(*obstacle));
     return;
   }
   if (queue.size() >= options.maxChanges || waitingAnswers() >= options.maxWaitingAnswers) {
     decide(event.ticket, OrderStatus::notRun, "too many changes wait");
     return;
   }
-  queue.push_back({event, now});
+  queue.push({event, now});
   startNext(group);
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const&, Read const& event) {
-  if (std::string const reason = whyNot(); !reason.empty()) {
-    decide(event.ticket, OrderStatus::notRun, reason);
+  if (std::optional<OrderObstacle> const obstacle = readObstacle()) {
+    decide(event.ticket, OrderStatus::notRun, textOf(*obstacle));
   } else if (reads.size() >= options.maxChanges) {
     decide(event.ticket, OrderStatus::notRun, "too many reads wait");
   } else {
@@ -339,14 +320,13 @@
 
 void ConfigService::Impl::on(replication::ReplicationGroup const&, BeginShutdown const&) {
   shuttingDown = true;
-  rejectQueued("this node is leaving");
+  rejectQueued(textOf(OrderObstacle::shuttingDown));
 }
 
 void ConfigService::Impl::rejectQueued(std::string const& reason) {
-  for (QueuedOrder const& queued : queue) {
+  for (QueuedOrder const& queued : queue.takeAll()) {
     decide(queued.order.ticket, OrderStatus::notRun, reason);
   }
-  queue.clear();
 }
 
 void ConfigService::Impl::deferRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline,
@@ -377,13 +357,9 @@
     inProgressAnswered = true;
     decide(inProgress->ticket, OrderStatus::unknown, "the backup has not confirmed the change yet");
   }
-  std::erase_if(queue, [&](QueuedOrder const& queued) {
-    bool const late = now >= queued.order.deadline;
-    if (late) {
-      decide(queued.order.ticket, OrderStatus::notRun, "the deadline passed before the change was begun");
-    }
-    return late;
-  });
+  for (QueuedOrder const& queued : queue.takeExpired(now)) {
+    decide(queued.order.ticket, OrderStatus::notRun, "the deadline passed before the change was begun");
+  }
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const& group, StateRequestReceived const& event) {
@@ -428,22 +404,23 @@
     rosterStable = true;
   }
   completeRemovals();
-  std::erase_if(acknowledgements, [&](PendingAcknowledgement const& entry) {
-    bool const majorities = majorityConfirmed(published.roster, entry.stateVersion) &&
-                            (rosterStable || majorityConfirmed(published.priorRoster, entry.stateVersion));
-    bool const lapsed = now - entry.since >= options.unresponsiveGraceMs;
-    bool const leads = !entry.arrivedAt || confirmedSince(confirmedAt, *entry.arrivedAt);
-    if (leads && majorities && (allConfirmed(entry.stateVersion) || lapsed)) {
-      decide(entry.ticket, OrderStatus::taken, "", entry.version);
-      return true;
-    }
-    if (now >= entry.deadline) {
-      decide(entry.ticket, OrderStatus::unknown, "the change is kept, but not known to be everywhere yet",
-             entry.version);
-      return true;
-    }
-    return false;
-  });
+  for (PendingAcknowledgement const& entry :
+       acknowledgements.takeInForce([this](PendingAcknowledgement const& pending) { return inForce(pending); })) {
+    decide(entry.ticket, OrderStatus::taken, "", entry.version);
+  }
+  for (PendingAcknowledgement const& entry : acknowledgements.takeExpired(now)) {
+    decide(entry.ticket, OrderStatus::unknown, "the change is kept, but not known to be everywhere yet", entry.version);
+  }
+}
+
+// A majority of the roster has the order in force, of the roster before too while a change of it is on its way, and
+// every node that is not proved gone; for a node that says nothing no longer than the grace time is waited.
+bool ConfigService::Impl::inForce(PendingAcknowledgement const& entry) const {
+  bool const majorities = majorityConfirmed(published.roster, entry.stateVersion) &&
+                          (rosterStable || majorityConfirmed(published.priorRoster, entry.stateVersion));
+  bool const lapsed = now - entry.since >= options.unresponsiveGraceMs;
+  bool const leads = !entry.arrivedAt || confirmedSince(confirmedAt, *entry.arrivedAt);
+  return leads && majorities && (allConfirmed(entry.stateVersion) || lapsed);
 }
 
 bool ConfigService::Impl::proposeRoster(replication::ReplicationGroup const& group) {
@@ -481,7 +458,7 @@
 }
 
 void ConfigService::Impl::begin(QueuedOrder const& queued, AlreadyTaken const& taken) {
-  acknowledgements.push_back(
+  acknowledgements.add(
       {queued.order.ticket, stateVersion(), taken.version, publishedAt, queued.order.deadline, queued.arrivedAt});
   completeAcknowledged();
 }
@@ -505,12 +482,11 @@
     if (queue.empty()) {
       return;
     }
-    QueuedOrder const queued = std::move(queue.front());
-    queue.pop_front();
+    QueuedOrder const queued = queue.pop();
     if (now >= queued.order.deadline) {
       decide(queued.order.ticket, OrderStatus::notRun, "the deadline passed before the change was begun");
     } else if (isUnconfirmed()) {
-      decide(queued.order.ticket, OrderStatus::notRun, "the backup is not heard");
+      decide(queued.order.ticket, OrderStatus::notRun, textOf(OrderObstacle::backupUnresponsive));
     } else {
       begin(group, queued);
     }
@@ -543,32 +519,15 @@
 std::size_t ConfigService::pending() const { return impl_->queue.size() + impl_->waitingAnswers(); }
 
 void ConfigService::Impl::digestOrders(messages::StateDigest& digest) const {
-  digest.add(queue.size());
-  for (QueuedOrder const& queued : queue) {
-    digestOrder(digest, queued.order);
-    digest.add(queued.arrivedAt);
-  }
+  queue.digest(digest);
   digest.add(inProgress.has_value());
   if (inProgress) {
     digestOrder(digest, *inProgress);
     digest.add(inProgressAnswered);
   }
   digest.add(inProgressTicket);
-  digest.add(acknowledgements.size());
-  for (PendingAcknowledgement const& entry : acknowledgements) {
-    digest.add(entry.ticket);
-    digest.add(entry.stateVersion.epoch);
-    digest.add(entry.stateVersion.sequence);
-    digest.add(entry.since);
-    digest.add(entry.deadline);
-    digest.add(entry.arrivedAt.value_or(TimePoint{}));
-  }
-  digest.add(removals.size());
-  for (NodeRemoval const& entry : removals) {
-    digest.add(entry.ticket);
-    digest.add(entry.nodes);
-    digest.add(entry.deadline);
-  }
+  acknowledgements.digest(digest);
+  removals.digest(digest);
 }
 
 std::uint64_t ConfigService::digest(TimePoint now) const {
--- /dev/null
+++ b/libs/control/src/node_removals.cpp
@@ -0,0 +1,58 @@
+#include "node_removals.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace limeramp::control {
+namespace {
+
+bool contains(std::vector<messages::RosterEntry> const& roster, std::string const& node) {
+  return std::any_of(roster.begin(), roster.end(),
+                     [&](messages::RosterEntry const& entry) { return entry.node == node; });
+}
+
+std::vector<NodeRemoval> takeIf(std::vector<NodeRemoval>& pending, NodeRemovals::Completed const& wanted) {
+  std::vector<NodeRemoval> out;
+  std::erase_if(pending, [&](NodeRemoval& entry) {
+    bool const taken = wanted(entry);
+    if (taken) {
+      out.push_back(std::move(entry));
+    }
+    return taken;
+  });
+  return out;
+}
+
+}  // namespace
+
+std::vector<config::Problem> removalProblems(TimePoint now, std::vector<std::string> const& nodes,
+                                             messages::State const& published, NodeTracker const& tracker) {
+  std::vector<config::Problem> problems;
+  for (std::string const& node : nodes) {
+    if (!contains(published.roster, node) && !contains(published.priorRoster, node)) {
+      problems.push_back({"/nodes/" + node, "is not on the roster"});
+    } else if (tracker.isAlive(now, node)) {
+      problems.push_back({"/nodes/" + node, "is alive"});
+    }
+  }
+  return problems;
+}
+
+std::vector<NodeRemoval> NodeRemovals::takeCompleted(Completed const& completed) { return takeIf(pending_, completed); }
+
+std::vector<NodeRemoval> NodeRemovals::takeExpired(TimePoint now) {
+  return takeIf(pending_, [now](NodeRemoval const& entry) { return now >= entry.deadline; });
+}
+
+std::vector<NodeRemoval> NodeRemovals::takeAll() { return std::exchange(pending_, {}); }
+
+void NodeRemovals::digest(messages::StateDigest& digest) const {
+  digest.add(pending_.size());
+  for (NodeRemoval const& entry : pending_) {
+    digest.add(entry.ticket);
+    digest.add(entry.nodes);
+    digest.add(entry.deadline);
+  }
+}
+
+}  // namespace limeramp::control
--- /dev/null
+++ b/libs/control/src/order_queue.cpp
@@ -0,0 +1,48 @@
+#include "order_queue.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+namespace limeramp::control {
+
+QueuedOrder OrderQueue::pop() {
+  QueuedOrder order = std::move(queue_.front());
+  queue_.pop_front();
+  return order;
+}
+
+std::vector<QueuedOrder> OrderQueue::takeExpired(TimePoint now) {
+  std::vector<QueuedOrder> out;
+  std::erase_if(queue_, [&](QueuedOrder& queued) {
+    bool const late = now >= queued.order.deadline;
+    if (late) {
+      out.push_back(std::move(queued));
+    }
+    return late;
+  });
+  return out;
+}
+
+std::vector<QueuedOrder> OrderQueue::takeAll() {
+  std::vector<QueuedOrder> out(std::make_move_iterator(queue_.begin()), std::make_move_iterator(queue_.end()));
+  queue_.clear();
+  return out;
+}
+
+void OrderQueue::digest(messages::StateDigest& digest) const {
+  digest.add(queue_.size());
+  for (QueuedOrder const& queued : queue_) {
+    digestOrder(digest, queued.order);
+    digest.add(queued.arrivedAt);
+  }
+}
+
+void digestOrder(messages::StateDigest& digest, Change const& order) {
+  digest.add(order.ticket);
+  digest.add(order.id);
+  digest.add(order.body);
+  digest.add(order.deadline);
+}
+
+}  // namespace limeramp::control
--- a/libs/discovery/src/server_directory.cpp
+++ b/libs/discovery/src/server_directory.cpp
@@ -1,4 +1,5 @@
 #include "limeramp/discovery/server_directory.h"
+#include "limeramp/distribution/rendezvous_hash.h"
 
 #include <xxhash.h>
 
--- a/libs/dispatch/include/limeramp/dispatch/dispatcher.h
+++ b/libs/dispatch/include/limeramp/dispatch/dispatcher.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include "limeramp/dispatch/options.h"
 #include "limeramp/logging/logging.h"
 #include "limeramp/retry/attempt_log.h"
 
@@ -8,6 +9,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
@@ -15,53 +17,6 @@
 
 using retry::TimePoint;
 
-struct DispatchOptions {
-  std::size_t maxConcurrentPerServer = 4;
-  double limitGrowth = 0.05;
-  double limitShrink = 0.7;
-  double windowGrowth = 0.1;
-  double windowShrink = 0.7;
-  double queueShareOfDeadline = 0.15;
-  double baselineDrift = 1.001;
-  std::chrono::milliseconds tenantActiveMs{3000};
-  std::size_t maxWaitingPerService = 512;
-  std::size_t maxWaitingPerTenant = 128;
-  std::size_t maxRequests = 4000;
-  double stragglerFactor = 1.5;
-  double stragglerQuantile = 0.95;
-  std::chrono::milliseconds stragglerMinMs{15};
-  double stragglerShareOfDeadline = 0.4;
-  double marginShareOfDeadline = 0.06;
-  std::chrono::milliseconds marginMinMs{8};
-  std::chrono::milliseconds marginMaxMs{30};
-  std::chrono::milliseconds latencyTargetMarginMs{8};
-  double lateShare = 0.4;
-  double offerShareOfLatencyTarget = 0.25;
-  std::chrono::milliseconds blockedMs{5};
-  std::chrono::milliseconds waitWakeMs{50};
-  std::chrono::milliseconds abandonedMaxMs{1000};
-  std::chrono::milliseconds ejectionBaseMs{500};
-  std::chrono::milliseconds ejectionMaxMs{4000};
-  std::chrono::milliseconds stallMs{1000};
-  std::chrono::milliseconds unresponsiveInitialMs{100};
-  std::chrono::milliseconds unresponsiveBaseMs{100};
-  std::chrono::milliseconds unresponsiveMaxMs{1000};
-  std::chrono::milliseconds halfOpenProbeMs{350};
-  double zoneBias = 0.9;
-  double zoneLoadCalm = 1;
-  double zoneLoadMax = 1.7;
-  double zoneLatencyFactor = 3;
-  std::size_t zoneMaxOpen = 3;
-  double slowStartInitialShare = 0.2;
-  double warmupOverrun = 1.25;
-  double warmupSlack = 4;
-  std::chrono::milliseconds warmupWindowMs{1100};
-  std::chrono::milliseconds positionStableMs{3200};
-  std::chrono::milliseconds retryMinMs{20};
-  std::chrono::milliseconds retryMaxMs{300};
-  bool hedge = true;
-};
-
 struct ServerEndpoint {
   std::string address;
   std::string zone;
@@ -137,12 +92,29 @@
 
 enum class RequestOutcome { complete, partial, refused, failed };
 
+/// Why a request ended without the answer of all its shards.
+enum class FinishReason {
+  /// It did not: all shards are in.
+  none,
+  /// Refused on arrival: its subrequests could not be served in time, or a queue is full.
+  overloaded,
+  /// Every server of a needed shard was tried or may not be tried.
+  noServerLeft,
+  /// Fewer shards can still answer than the request needs.
+  tooFewShardsLeft,
+  deadlineReached,
+  latencyTargetReached,
+};
+
+/// The words that callers read.
+std::string_view textOf(FinishReason reason);
+
 struct FinishRequest {
   std::uint64_t request = 0;
   RequestOutcome outcome = RequestOutcome::failed;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
   std::vector<std::size_t> missing;
-  std::string reason;
+  FinishReason reason = FinishReason::none;
   std::optional<std::chrono::milliseconds> retryAfter;
 };
 
--- a/libs/dispatch/src/dispatcher.cpp
+++ b/libs/dispatch/src/dispatcher.cpp
@@ -4,6 +4,24 @@
 
 namespace limeramp::dispatch {
 
+std::string_view textOf(FinishReason reason) {
+  switch (reason) {
+    case FinishReason::none:
+      return "";
+    case FinishReason::overloaded:
+      return "overloaded";
+    case FinishReason::noServerLeft:
+      return "no server left to try";
+    case FinishReason::tooFewShardsLeft:
+      return "too few shards can still answer";
+    case FinishReason::deadlineReached:
+      return "deadline";
+    case FinishReason::latencyTargetReached:
+      return "aim";
+  }
+  return "";
+}
+
 std::uint32_t Dispatcher::Impl::serviceOf(std::string const& name) {
   std::unordered_map<std::string, std::uint32_t>::const_iterator const found = serviceIndex.find(name);
   if (found != serviceIndex.end()) {
@@ -61,7 +79,7 @@
                      static_cast<double>(std::max<std::size_t>(1, position.gatewayCount));
       state.tokensAt = now;
       state.latencyAt = now;
-      state.limit = static_cast<double>(options.maxConcurrentPerServer);
+      state.limit = static_cast<double>(options.concurrency.maxPerServer);
     } else {
       state = std::move(*old);
       old->id = 0;
@@ -89,7 +107,7 @@
     firstPositionAt = now;
   }
   recentPositions.emplace_back(now, position);
-  while (recentPositions.size() > 1 && now - recentPositions[1].first >= options.positionStableMs) {
+  while (recentPositions.size() > 1 && now - recentPositions[1].first >= options.slowStart.positionStableMs) {
     recentPositions.pop_front();
   }
   for (std::uint32_t index = 0; index < services.size(); ++index) {
@@ -100,14 +118,14 @@
   }
 }
 
-void Dispatcher::Impl::refuse(RequestArrived const& event, std::string const& reason) {
+void Dispatcher::Impl::refuse(RequestArrived const& event, FinishReason reason) {
   ++counters.rejected;
   FinishRequest refusal;
   refusal.request = event.request;
   refusal.outcome = RequestOutcome::refused;
   refusal.verdict = retry::Verdict::notRun;
   refusal.reason = reason;
-  refusal.retryAfter = options.retryMinMs;
+  refusal.retryAfter = options.backoff.minMs;
   std::string const service = event.services.empty() ? "" : event.services.front();
   std::unordered_map<std::string, std::uint32_t>::const_iterator const known = serviceIndex.find(service);
   if (known != serviceIndex.end()) {
@@ -122,8 +140,8 @@
     return;
   }
   ++counters.arrivals;
-  if (event.services.empty() || requests.size() >= options.maxRequests) {
-    refuse(event, "overloaded");
+  if (event.services.empty() || requests.size() >= options.queue.maxRequests) {
+    refuse(event, FinishReason::overloaded);
     return;
   }
   RequestState state;
@@ -136,14 +154,15 @@
   state.arrivedAt = now;
   state.deadline = event.deadline;
   double const totalMs = millis(event.deadline - now);
-  double const marginMs = std::min(totalMs / 2, std::clamp(totalMs * options.marginShareOfDeadline,
-                                                           millis(options.marginMinMs), millis(options.marginMaxMs)));
+  double const marginMs =
+      std::min(totalMs / 2, std::clamp(totalMs * options.deadlineMargin.shareOfDeadline,
+                                       millis(options.deadlineMargin.minMs), millis(options.deadlineMargin.maxMs)));
   state.answerBy = event.deadline - fine(marginMs);
   state.offerBy = TimePoint::max();
   if (event.latencyTarget > now && event.latencyTarget < event.deadline) {
     double const targetMs = millis(event.latencyTarget - now);
-    state.latencyTargetAt = event.latencyTarget - fine(std::min(millis(options.latencyTargetMarginMs), targetMs / 2));
-    state.offerBy = now + fine(targetMs * options.offerShareOfLatencyTarget);
+    state.latencyTargetAt = event.latencyTarget - fine(std::min(millis(options.latencyTarget.marginMs), targetMs / 2));
+    state.offerBy = now + fine(targetMs * options.latencyTarget.offerShare);
   }
   std::size_t crowded = 0;
   state.subrequests.resize(event.services.size());
@@ -154,7 +173,7 @@
     crowded += subrequest.givenUp ? 1 : 0;
   }
   if (state.subrequests.size() - crowded < event.minimum) {
-    refuse(event, "overloaded");
+    refuse(event, FinishReason::overloaded);
     for (Subrequest const& subrequest : state.subrequests) {
       releaseIfUnused(subrequest.service);
     }
@@ -176,7 +195,7 @@
 
 Ms Dispatcher::Impl::retryAfter(ServiceState const& service) const {
   double const roomMs = service.latencies.typicalMs() + expectedWaitMs(service, service.waitingCount);
-  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), options.retryMinMs, options.retryMaxMs);
+  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), options.backoff.minMs, options.backoff.maxMs);
 }
 
 void Dispatcher::Impl::closeAttempt(RequestState& request, std::uint32_t index, retry::Attempt const& attempt,
@@ -189,7 +208,7 @@
       server->open.erase(kept);
     }
     subrequest.tenant->abandonedUntil.push_back(
-        now + std::min<TimePoint::duration>(options.abandonedMaxMs, now - attempt.began));
+        now + std::min<TimePoint::duration>(options.ejection.abandonedMaxMs, now - attempt.began));
     if (!lost) {
       shrinkWindow(service, *subrequest.tenant, millis(now - attempt.began));
     }
@@ -292,23 +311,23 @@
     finish(request,
            enough ? (done == request.subrequests.size() ? RequestOutcome::complete : RequestOutcome::partial)
                   : RequestOutcome::failed,
-           "no server left to try");
+           FinishReason::noServerLeft);
     return;
   }
   if (done + pending < request.minimum) {
-    finish(request, RequestOutcome::failed, "too few shards can still answer");
+    finish(request, RequestOutcome::failed, FinishReason::tooFewShardsLeft);
     return;
   }
   if (now >= request.answerBy) {
-    finish(request, enough ? RequestOutcome::partial : RequestOutcome::failed, "deadline");
+    finish(request, enough ? RequestOutcome::partial : RequestOutcome::failed, FinishReason::deadlineReached);
     return;
   }
   if (request.latencyTargetAt && !request.latencyTargetPassed && now >= *request.latencyTargetAt) {
     request.latencyTargetPassed = true;
     double const ready = static_cast<double>(done);
     double const possible = static_cast<double>(done + pending);
-    if (enough && ready * ready >= options.lateShare * possible * possible) {
-      finish(request, RequestOutcome::partial, "aim");
+    if (enough && ready * ready >= options.latencyTarget.partialShare * possible * possible) {
+      finish(request, RequestOutcome::partial, FinishReason::latencyTargetReached);
       return;
     }
   }
@@ -322,7 +341,8 @@
   if (unoffered) {
     due = std::min(due, request.offerBy);
   }
-  for (std::uint32_t index = 0; options.hedge && request.idempotent && index < request.subrequests.size(); ++index) {
+  for (std::uint32_t index = 0; options.hedging.enabled && request.idempotent && index < request.subrequests.size();
+       ++index) {
     Subrequest& subrequest = request.subrequests[index];
     if (subrequest.straggling || !subrequest.attemptLog.hasOpen() ||
         !subrequest.attemptLog.mayAttemptAgain(request.maxAttempts, true)) {
@@ -346,7 +366,7 @@
   requestTimers.set(request, due);
 }
 
-void Dispatcher::Impl::finish(RequestState& request, RequestOutcome outcome, std::string const& reason) {
+void Dispatcher::Impl::finish(RequestState& request, RequestOutcome outcome, FinishReason reason) {
   FinishRequest out;
   out.request = request.id;
   bool touched = false;
--- a/libs/dispatch/src/dispatcher_impl.h
+++ b/libs/dispatch/src/dispatcher_impl.h
@@ -245,8 +245,8 @@
   void closeOthers(RequestState& request, std::uint32_t shard);
   void closeAttempt(RequestState& request, std::uint32_t shard, retry::Attempt const& attempt, bool lost);
   void reviewRequest(RequestState& request);
-  void finish(RequestState& request, RequestOutcome outcome, std::string const& reason);
-  void refuse(RequestArrived const& event, std::string const& reason);
+  void finish(RequestState& request, RequestOutcome outcome, FinishReason reason);
+  void refuse(RequestArrived const& event, FinishReason reason);
   Ms retryAfter(ServiceState const& service) const;
 };
 
--- a/libs/dispatch/src/server_selection.cpp
+++ b/libs/dispatch/src/server_selection.cpp
@@ -57,8 +57,8 @@
     return 1;
   }
   double const share = FineMs(now - std::max(server.startedAt, server.backAt)) / FineMs(server.row.slowStartMs);
-  return std::clamp(options.slowStartInitialShare + (1 - options.slowStartInitialShare) * share,
-                    options.slowStartInitialShare, 1.0);
+  return std::clamp(options.slowStart.initialShare + (1 - options.slowStart.initialShare) * share,
+                    options.slowStart.initialShare, 1.0);
 }
 
 double Dispatcher::Impl::tokensPerSecond(ServerState const& server) const {
@@ -73,11 +73,11 @@
 }
 
 std::size_t Dispatcher::Impl::warmupAllowance(ServerState const& server) const {
-  double const total =
-      std::floor(std::max(0.0, server.row.warmupPerSecond) * options.warmupOverrun + options.warmupSlack);
+  double const total = std::floor(std::max(0.0, server.row.warmupPerSecond) * options.slowStart.warmupOverrun +
+                                  options.slowStart.warmupSlack);
   std::size_t const slots = static_cast<std::size_t>(std::clamp(total, 1.0, 1e6));
   std::size_t const shift = stableHashOf(server.row.address);
-  std::size_t share = now - firstPositionAt < options.positionStableMs ? 0 : slots;
+  std::size_t share = now - firstPositionAt < options.slowStart.positionStableMs ? 0 : slots;
   for (std::pair<TimePoint, FleetPosition> const& kept : recentPositions) {
     std::size_t const gatewayCount = std::max<std::size_t>(1, kept.second.gatewayCount);
     std::size_t const ownSlot = (kept.second.gatewayIndex + shift % gatewayCount) % gatewayCount;
@@ -88,7 +88,7 @@
 
 Ms Dispatcher::Impl::warmupInterval(ServerState const& server) const {
   Ms::rep const share = static_cast<Ms::rep>(std::max<std::size_t>(1, warmupAllowance(server)));
-  return Ms((options.warmupWindowMs.count() + share - 1) / share);
+  return Ms((options.slowStart.warmupWindowMs.count() + share - 1) / share);
 }
 
 ShardAvailability Dispatcher::Impl::availabilityOf(ServiceState const& service) const {
@@ -108,13 +108,14 @@
       (isWarmingUp(server) && warmupAllowance(server) == 0)) {
     return false;
   }
-  return !isEjected(server) || (!view.hasServingServer && now >= server.halfOpenProbeAt + options.halfOpenProbeMs);
+  return !isEjected(server) ||
+         (!view.hasServingServer && now >= server.halfOpenProbeAt + options.ejection.halfOpenProbeMs);
 }
 
 double Dispatcher::Impl::unresponsiveAfterMs(ServiceState const& service) const {
   return service.latencies.known()
-             ? std::max(millis(options.stragglerMinMs), service.latencies.tailMs() * options.stragglerFactor)
-             : millis(options.unresponsiveInitialMs);
+             ? std::max(millis(options.hedging.minMs), service.latencies.tailMs() * options.hedging.factor)
+             : millis(options.ejection.unresponsiveInitialMs);
 }
 
 bool Dispatcher::Impl::isUnresponsive(ServiceState const& service, ServerState const& server) const {
@@ -139,7 +140,7 @@
   if (isHalfOpen(server)) {
     TimePoint const unresponsiveUntil = server.unresponsiveUntil.value_or(now);
     return (!isEjected(server) && now >= unresponsiveUntil && server.open.empty()) ||
-           (!view.hasServingServer && now >= server.halfOpenProbeAt + options.halfOpenProbeMs);
+           (!view.hasServingServer && now >= server.halfOpenProbeAt + options.ejection.halfOpenProbeMs);
   }
   if (now < server.overCapacityUntil || isUnresponsive(service, server)) {
     return false;
@@ -151,7 +152,8 @@
 TimePoint Dispatcher::Impl::nextIdleAt(ServerState const& server) const {
   TimePoint soonest = TimePoint::max();
   std::optional<TimePoint> const halfOpenProbeAt =
-      isHalfOpen(server) ? std::optional<TimePoint>(server.halfOpenProbeAt + options.halfOpenProbeMs) : std::nullopt;
+      isHalfOpen(server) ? std::optional<TimePoint>(server.halfOpenProbeAt + options.ejection.halfOpenProbeMs)
+                         : std::nullopt;
   std::optional<TimePoint> const warmup = isWarmingUp(server) && warmupAllowance(server) > 0
                                               ? std::optional<TimePoint>(server.warmupSentAt + warmupInterval(server))
                                               : std::nullopt;
@@ -195,17 +197,20 @@
   double const load = server.load > 0 ? server.load * fadeOver(now - server.loadAt, 0.5) : 0;
   double const errorScore = server.errorScore > 0 ? server.errorScore * fadeOver(now - server.errorScoreAt, 2) : 0;
   bool const near = !position.zone.empty() && server.row.zone == position.zone &&
-                    latencyMs < options.zoneLatencyFactor * typicalMs && !isWarmingUp(server) &&
+                    latencyMs < options.zonePreference.maxLatencyFactor * typicalMs && !isWarmingUp(server) &&
                     server.unanswered == 0 && server.failures == 0 && errorScore < 0.05 &&
-                    busy <= static_cast<double>(options.zoneMaxOpen);
+                    busy <= static_cast<double>(options.zonePreference.maxOpenAttempts);
   double const nearness =
-      near ? std::clamp((options.zoneLoadMax - load) / (options.zoneLoadMax - options.zoneLoadCalm), 0.0, 1.0) : 0;
+      near ? std::clamp((options.zonePreference.noneFromLoad - load) /
+                            (options.zonePreference.noneFromLoad - options.zonePreference.fullUpToLoad),
+                        0.0, 1.0)
+           : 0;
   double const pressure = 1 + std::max(0.0, load - 0.7) * 4 * (1 - nearness);
   double score = std::max(0.1, latencyMs) * busy * pressure * (1 + errorScore * (idempotent ? 10 : 30));
   if (isWarmingUp(server)) {
     score *= 1.5;
   }
-  return score * (1 - options.zoneBias * nearness);
+  return score * (1 - options.zonePreference.bias * nearness);
 }
 
 ServerState* Dispatcher::Impl::chooseIdle(ServiceState& service, retry::AttemptLog const& attemptLog, bool idempotent,
@@ -225,7 +230,7 @@
     }
     bool const halfOpen = isHalfOpen(server);
     if (halfOpen && !idempotent && !server.lastAttemptUnreached &&
-        now < server.halfOpenProbeAt + options.halfOpenProbeMs * (view.hasServingServer ? 4 : 2)) {
+        now < server.halfOpenProbeAt + options.ejection.halfOpenProbeMs * (view.hasServingServer ? 4 : 2)) {
       continue;
     }
     double const score = halfOpen ? (idempotent ? 0 : 1e9) : scoreOf(service, server, idempotent);
@@ -241,8 +246,8 @@
   if (!server.ejectedUntil) {
     effects.emplace_back(LogEntry{logging::Event::serverEjected, service.name, server.row.address});
   }
-  server.ejectionMs = server.ejectionMs.count() == 0 ? std::max(options.ejectionBaseMs, server.unresponsiveMs * 2)
-                                                     : std::min(options.ejectionMaxMs, server.ejectionMs * 2);
+  server.ejectionMs = server.ejectionMs.count() == 0 ? std::max(options.ejection.baseMs, server.unresponsiveMs * 2)
+                                                     : std::min(options.ejection.maxMs, server.ejectionMs * 2);
   server.ejectedUntil = now + server.ejectionMs;
   server.halfOpenProbeAt = now;
 }
@@ -297,30 +302,31 @@
       }
       server.ejectedUntil.reset();
       server.ejectionMs = Ms(0);
-      server.limit = std::max(server.limit, static_cast<double>(options.maxConcurrentPerServer) / 2);
+      server.limit = std::max(server.limit, static_cast<double>(options.concurrency.maxPerServer) / 2);
       effects.emplace_back(LogEntry{logging::Event::serverReadmitted, service.name, server.row.address});
     }
   }
   if (overCapacity) {
-    server.limit = std::max(1.0, server.limit * options.limitShrink);
+    server.limit = std::max(1.0, server.limit * options.concurrency.shrink);
     server.overCapacityUntil = now + fine(std::clamp(service.latencies.typicalMs() / 2, 2.0, 20.0));
     return;
   }
   if (event.healthy) {
     server.errorScore *= 0.85 * fadeOver(now - server.errorScoreAt, 2);
     server.errorScoreAt = now;
-    server.limit = std::min(static_cast<double>(options.maxConcurrentPerServer), server.limit + options.limitGrowth);
+    server.limit =
+        std::min(static_cast<double>(options.concurrency.maxPerServer), server.limit + options.concurrency.growth);
     server.latencyMs = server.latencyMs <= 0 ? latencyMs : server.latencyMs * 0.8 + latencyMs * 0.2;
     server.latencyAt = now;
-    service.latencies.add(latencyMs, options.stragglerQuantile);
+    service.latencies.add(latencyMs, options.hedging.quantile);
     std::vector<std::pair<std::size_t, LatencyWindow>>::iterator const mine =
         std::find_if(service.kinds.begin(), service.kinds.end(),
                      [&](std::pair<std::size_t, LatencyWindow> const& entry) { return entry.first == kind; });
     if (mine != service.kinds.end()) {
-      mine->second.add(latencyMs, options.stragglerQuantile);
+      mine->second.add(latencyMs, options.hedging.quantile);
     } else if (service.kinds.size() < maxKinds) {
       service.kinds.emplace_back(kind, LatencyWindow{});
-      service.kinds.back().second.add(latencyMs, options.stragglerQuantile);
+      service.kinds.back().second.add(latencyMs, options.hedging.quantile);
     }
     return;
   }
@@ -345,21 +351,21 @@
 
 void Dispatcher::Impl::recordUnanswered(ServiceState& service, ServerState& server, TimePoint began, bool lost) {
   double const seenMs = millis(now - began);
-  server.abandonedUntil.push_back(now + std::min<TimePoint::duration>(options.abandonedMaxMs, now - began));
+  server.abandonedUntil.push_back(now + std::min<TimePoint::duration>(options.ejection.abandonedMaxMs, now - began));
   if (!lost) {
-    server.limit = std::max(1.0, server.limit * options.limitShrink);
+    server.limit = std::max(1.0, server.limit * options.concurrency.shrink);
   }
   if (server.unanswered++ == 0) {
     server.firstUnansweredAt = began;
   }
   server.latencyMs = std::max(server.latencyMs, server.latencyMs * 0.8 + seenMs * 0.2);
   server.latencyAt = now;
-  if (server.ejectedUntil || (server.unanswered >= 3 && now - server.firstUnansweredAt >= options.stallMs)) {
+  if (server.ejectedUntil || (server.unanswered >= 3 && now - server.firstUnansweredAt >= options.ejection.stallMs)) {
     eject(service, server);
   } else if (server.answeredAt <= began && seenMs > unresponsiveAfterMs(service)) {
     server.unresponsiveMs = server.unresponsiveMs.count() == 0
-                                ? options.unresponsiveBaseMs
-                                : std::min(options.unresponsiveMaxMs, server.unresponsiveMs * 2);
+                                ? options.ejection.unresponsiveBaseMs
+                                : std::min(options.ejection.unresponsiveMaxMs, server.unresponsiveMs * 2);
     server.unresponsiveUntil = now + server.unresponsiveMs;
     server.halfOpenProbeAt = now;
   }
--- a/libs/dispatch/src/shard_queues.cpp
+++ b/libs/dispatch/src/shard_queues.cpp
@@ -15,7 +15,7 @@
   if (found != service.tenants.end()) {
     return found->second;
   }
-  if (service.tenants.size() >= options.maxWaitingPerService) {
+  if (service.tenants.size() >= options.queue.maxWaitingPerService) {
     std::erase_if(service.tenants, [&](std::pair<std::string const, TenantState> const& entry) {
       TenantState const& state = entry.second;
       return state.subrequests == 0 && (state.abandonedUntil.empty() || state.abandonedUntil.back() <= now);
@@ -103,10 +103,10 @@
                      (request.latencyTargetAt && totalMs > 2 * millis(*request.latencyTargetAt - now)))) {
     return true;
   }
-  if (waitingMine >= options.maxWaitingPerTenant) {
+  if (waitingMine >= options.queue.maxWaitingPerTenant) {
     return !preempt(service, mine, request.priority);
   }
-  return service.waitingCount >= options.maxWaitingPerService && !preempt(service, nullptr, request.priority);
+  return service.waitingCount >= options.queue.maxWaitingPerService && !preempt(service, nullptr, request.priority);
 }
 
 bool Dispatcher::Impl::wouldMissLatencyTarget(RequestState const& request, std::uint32_t index) const {
@@ -172,7 +172,7 @@
     hedge(service);
     return;
   }
-  service.wakeAt = now + options.waitWakeMs;
+  service.wakeAt = now + options.queue.recheckMs;
   for (ServerState const& server : service.servers) {
     service.wakeAt = std::min(service.wakeAt, nextIdleAt(server));
   }
@@ -185,14 +185,14 @@
 
 TimePoint Dispatcher::Impl::hedgeAt(RequestState const& request, Subrequest const& subrequest) const {
   LatencyWindow const& seen = latenciesOf(services[subrequest.service], request.kind);
-  double const maxMs = millis(request.deadline - request.arrivedAt) * options.stragglerShareOfDeadline;
-  double const learntMs = seen.known() ? seen.tailMs() * options.stragglerFactor : maxMs;
-  double thresholdMs = std::clamp(learntMs, std::min(maxMs, millis(options.stragglerMinMs)), maxMs);
+  double const maxMs = millis(request.deadline - request.arrivedAt) * options.hedging.maxShareOfDeadline;
+  double const learntMs = seen.known() ? seen.tailMs() * options.hedging.factor : maxMs;
+  double thresholdMs = std::clamp(learntMs, std::min(maxMs, millis(options.hedging.minMs)), maxMs);
   TimePoint const began = subrequest.attemptLog.lastBegan();
   if (!request.latencyTargetAt) {
     return began + fine(thresholdMs);
   }
-  double const targetMs = millis(*request.latencyTargetAt - request.arrivedAt) * options.stragglerShareOfDeadline;
+  double const targetMs = millis(*request.latencyTargetAt - request.arrivedAt) * options.hedging.maxShareOfDeadline;
   return began + fine(seen.known() ? thresholdMs : std::min(thresholdMs, std::max(0.0, targetMs)));
 }
 
@@ -228,7 +228,7 @@
     Subrequest& subrequest = request.subrequests[candidate.key.shard];
     ServerState* const server = chooseIdle(service, subrequest.attemptLog, false, 0);
     if (server == nullptr) {
-      service.wakeAt = std::min(service.wakeAt, now + options.blockedMs);
+      service.wakeAt = std::min(service.wakeAt, now + options.hedging.blockedMs);
       continue;
     }
     service.budget.withdraw();
@@ -268,19 +268,20 @@
                                   double latencyMs) {
   service.baselineLatencyMs = service.baselineLatencyMs <= 0
                                   ? latencyMs
-                                  : std::min(service.baselineLatencyMs * options.baselineDrift, latencyMs);
+                                  : std::min(service.baselineLatencyMs * options.tenantWindow.baselineDrift, latencyMs);
   double const totalMs = millis(request.deadline - request.arrivedAt);
-  if (latencyMs - service.baselineLatencyMs > totalMs * options.queueShareOfDeadline) {
+  if (latencyMs - service.baselineLatencyMs > totalMs * options.tenantWindow.queueShareOfDeadline) {
     shrinkWindow(service, tenant, latencyMs);
     return;
   }
   double const defaultWindow = static_cast<double>(std::max<std::size_t>(1, service.servers.size()));
   if (!tenant.waiting.empty()) {
-    double const growth = tenant.shrunk ? options.windowGrowth : 1;
+    double const growth = tenant.shrunk ? options.tenantWindow.growth : 1;
     tenant.window =
-        std::min(defaultWindow * static_cast<double>(options.maxConcurrentPerServer), tenant.window + growth);
+        std::min(defaultWindow * static_cast<double>(options.concurrency.maxPerServer), tenant.window + growth);
   } else if (static_cast<double>(tenant.inFlight) < tenant.window / 2) {
-    tenant.window += std::clamp(defaultWindow - tenant.window, -options.windowGrowth, options.windowGrowth);
+    tenant.window +=
+        std::clamp(defaultWindow - tenant.window, -options.tenantWindow.growth, options.tenantWindow.growth);
     tenant.shrunk = tenant.shrunk && tenant.window < defaultWindow;
   }
 }
@@ -288,13 +289,13 @@
 void Dispatcher::Impl::shrinkWindow(ServiceState& service, TenantState& tenant, double latencyMs) {
   bool const onlyActiveTenant = std::none_of(
       service.tenants.begin(), service.tenants.end(), [&](std::pair<std::string const, TenantState> const& entry) {
-        return &entry.second != &tenant && now - entry.second.seenAt < options.tenantActiveMs;
+        return &entry.second != &tenant && now - entry.second.seenAt < options.tenantWindow.activeMs;
       });
   double const narrowest = onlyActiveTenant ? static_cast<double>(std::max<std::size_t>(1, service.servers.size())) : 1;
   if (!tenant.waiting.empty() && millis(now - tenant.shrunkAt) >= latencyMs) {
     tenant.shrunkAt = now;
     tenant.shrunk = true;
-    tenant.window = std::max(narrowest, tenant.window * options.windowShrink);
+    tenant.window = std::max(narrowest, tenant.window * options.tenantWindow.shrink);
   }
 }
 
--- a/libs/distribution/src/config_delivery.cpp
+++ b/libs/distribution/src/config_delivery.cpp
@@ -1,12 +1,15 @@
 #include "limeramp/distribution/config_delivery.h"
 
+#include "follower_reports.h"
+#include "freshness_tracker.h"
 #include "limeramp/distribution/staleness_check.h"
 #include "limeramp/distribution/state_feed.h"
+#include "poll_targets.h"
+#include "state_fetch.h"
 
 #include <algorithm>
 #include <map>
 #include <random>
-#include <set>
 
 namespace limeramp::distribution {
 namespace {
@@ -14,14 +17,13 @@
 using Ms = std::chrono::milliseconds;
 using messages::StateVersion;
 
-constexpr std::size_t maxFollowers = 1000;
-constexpr std::size_t maxPeerConfirmations = 2000;
 constexpr std::size_t maxPeersKnown = 2000;
 
-/// Why a node polls another: to follow its state; to report to the primary beside the home that it follows; to hear
-/// whether it knows a newer state; or, after a restart, to be recorded and hear the same.
+/// Why a node polls another: to follow its state; to report to the primary beside the owner that it follows; to hear
+/// whether it knows a newer state; or, after a restart, to have this start recorded and hear the same.
 enum class Purpose { follow, report, verify, recover };
 
+/// A poll that has no answer yet.
 struct PendingRequest {
   std::string address;
   TimePoint at{};
@@ -32,11 +34,9 @@
   bool ownStartRecorded = false;
 };
 
-struct FollowerReport {
-  messages::Follower follower;
-  messages::PeerStatus peerStatus;
-  TimePoint at{};
-};
+StateVersion configurationVersionOf(messages::State const& state) {
+  return {state.configurationEpoch, state.configurationSequence};
+}
 
 }  // namespace
 
@@ -49,257 +49,248 @@
 struct ConfigDelivery::Impl {
   ConfigDeliveryOptions options;
   messages::Follower self;
+  messages::PeerStatus peerStatus;
   std::mt19937_64 random;
+  std::optional<TimePoint> startedAt;
+
+  /// The newest state that came here, without receipts. Its version never falls.
   std::optional<messages::State> state;
+  /// The newest version that any node has named.
+  StateVersion newestKnown;
+  /// Empty while no primary is known.
   std::string primaryAddress;
-  std::optional<TimePoint> confirmedAt;
-  std::map<std::string, TimePoint> peerConfirmations;
+  /// True once the primary, or the nodes that took part in a recovery, have confirmed a state since this start. Until
+  /// then this node's word counts for nobody.
+  bool caughtUp = false;
+  FreshnessTracker freshness;
+
+  /// By token; dropped after `replyMs`.
   std::map<std::uint64_t, PendingRequest> pendingRequests;
-  std::map<std::string, TimePoint> suspects;
-  std::map<std::string, FollowerReport> followers;
   std::uint64_t lastToken = 0;
+  PollTargets targets;
   TimePoint nextPollAt{};
   TimePoint nextFirstStateAt{};
-  std::optional<TimePoint> behindSince;
-  std::string fetchFrom;
-  TimePoint nextFetchAt{};
-  std::size_t nextController = 0;
+  /// Something changed that the node polled, or the primary, should know before the next interval is over.
   bool pollNow = false;
-  std::optional<TimePoint> startedAt;
-  bool caughtUp = false;
-  messages::PeerStatus peerStatus;
+  StateFetch fetch;
+  StalenessCheck stalenessCheck{{}, "", 0};
+
   IncarnationRecords incarnations;
+  /// The digest of the records that a peer named when it last answered, by address. At most `maxPeersKnown`.
   std::map<std::string, std::uint64_t> digestsOfPeers;
+  /// For a recovery: nodes that know of this start, with the start under which each of them said so.
   std::map<std::string, std::uint64_t> confirmedIncarnations;
-  StalenessCheck stalenessCheck{{}, "", 0};
 
+  FollowerReports followers;
   StateFeed feed;
-  StateVersion newestKnown;
 
   StateVersion stateVersion() const { return state ? state->version() : StateVersion{}; }
+  bool listed() const;
+  bool confirmationOverdue(TimePoint now) const;
+  bool knowsIncarnations(std::string const& address) const;
+  bool hasConfirmedIncarnation(std::string const& node) const;
+  bool recovered() const;
+
+  messages::StateRequest makeRequest(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow);
+  messages::StateRequest makeReport(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow);
+  messages::StateResponse makeResponse() const;
+
+  void expire(TimePoint now);
+  void poll(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends);
+  void askForFirstState(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends);
+  void askRoster(TimePoint now, std::vector<Outgoing>& sends);
+  void fetchNewerState(TimePoint now, std::vector<Outgoing>& sends);
+
+  messages::Message answer(TimePoint now, messages::StateRequest const& request);
+  ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateResponse const& message,
+                               std::optional<messages::State> next);
+  bool adopt(TimePoint now, messages::State next);
+  void recordPrimary(std::string const& address, messages::StateResponse const& message);
+  void recordPeerDigest(std::string const& address, PendingRequest const& question,
+                        messages::StateResponse const& message);
+  void countConfirmation(PendingRequest const& question, messages::StateResponse const& message);
+  bool knowsThisStart(PendingRequest const& question, messages::StateResponse const& message) const;
+};
 
-  bool listed() const {
-    return state && std::any_of(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
-             return entry.node == self.node && entry.address == self.address;
-           });
-  }
-
-  /// Whether the peer named the same incarnation records as known here are when it last answered.
-  bool knowsIncarnations(std::string const& address) const {
-    std::map<std::string, std::uint64_t>::const_iterator const found = digestsOfPeers.find(address);
-    return found != digestsOfPeers.end() && found->second == incarnations.digest();
-  }
-
-  messages::StateRequest makeRequest(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow) {
-    messages::StateRequest poll;
-    poll.token = ++lastToken;
-    poll.self = self;
-    poll.self.epoch = stateVersion().epoch;
-    poll.self.sequence = stateVersion().sequence;
-    poll.recover = purpose == Purpose::recover;
-    poll.follows = purpose == Purpose::follow;
-    poll.parts = partVersionsOf(state);
-    poll.peerStatuses.push_back(peerStatus);
-    poll.incarnationsDigest = incarnations.digest();
-    bool const sends = purpose != Purpose::verify && !knowsIncarnations(address);
-    if (sends) {
-      poll.peerStatuses.back().incarnations = incarnations.list();
-    }
-    pendingRequests[poll.token] = {
-        address, now, purpose, poll.incarnationsDigest, sends, incarnations.holds(self.node, peerStatus.boot)};
-    return poll;
-  }
-
-  /// A poll of the primary also reports the followers. What they know of incarnations is in this node's own list.
-  messages::StateRequest makeReport(TimePoint now, std::string const& address, Purpose purpose = Purpose::follow) {
-    messages::StateRequest poll = makeRequest(now, address, purpose);
-    for (std::pair<std::string const, FollowerReport> const& entry : followers) {
-      messages::PeerStatus const& status = entry.second.peerStatus;
-      poll.followers.push_back(entry.second.follower);
-      poll.peerStatuses.push_back({status.node, status.boot, status.draining, {}});
-    }
-    return poll;
-  }
+bool ConfigDelivery::Impl::listed() const {
+  return state && std::any_of(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
+           return entry.node == self.node && entry.address == self.address;
+         });
+}
 
-  bool recovered() const {
-    if (!listed() || !incarnations.trusts(self.node, peerStatus.boot)) {
-      return false;
-    }
-    std::size_t const count = static_cast<std::size_t>(
-        std::count_if(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
-          return entry.node != self.node && hasConfirmedIncarnation(entry.node);
-        }));
-    return count >= (state->roster.size() + 1) / 2;
-  }
-
-  std::vector<std::string> zoneOwners(std::vector<messages::Peer> const& peers) const {
-    std::map<std::string, std::string> zone;
-    if (state) {
-      for (messages::RosterEntry const& entry : state->roster) {
-        if (entry.zone == self.zone) {
-          zone[entry.node] = entry.address;
-        }
-      }
-    }
-    for (messages::Peer const& peer : peers) {
-      if (zone.empty() && peer.role == messages::gatewayRole && peer.zone == self.zone) {
-        zone[peer.node] = peer.address;
-      }
-    }
-    zone[self.node] = self.address;
-    std::vector<std::string> names;
-    names.reserve(zone.size());
-    for (std::pair<std::string const, std::string> const& entry : zone) {
-      names.push_back(entry.first);
-    }
-    std::vector<std::string> out;
-    for (std::string const& name : rankByRendezvousHash("configuration/" + self.zone, names)) {
-      out.push_back(zone[name]);
-    }
-    return out;
-  }
+bool ConfigDelivery::Impl::confirmationOverdue(TimePoint now) const {
+  std::optional<TimePoint> const confirmedAt = freshness.primaryConfirmedAt();
+  return !confirmedAt || now - *confirmedAt > options.stalenessCheckMs;
+}
 
-  std::string controlAddress(std::vector<messages::Peer> const& peers) {
-    if (!primaryAddress.empty() && !suspects.contains(primaryAddress)) {
-      return primaryAddress;
-    }
-    std::vector<std::string> known;
-    for (messages::Peer const& peer : peers) {
-      if (peer.role == messages::controllerRole) {
-        known.push_back(peer.address);
-      }
-    }
-    return known.empty() ? primaryAddress : known[++nextController % known.size()];
-  }
+/// Whether the peer named the same incarnation records as known here are when it last answered.
+bool ConfigDelivery::Impl::knowsIncarnations(std::string const& address) const {
+  std::map<std::string, std::uint64_t>::const_iterator const found = digestsOfPeers.find(address);
+  return found != digestsOfPeers.end() && found->second == incarnations.digest();
+}
 
-  bool adopt(TimePoint now, messages::State next) {
-    if (next.version() <= stateVersion()) {
-      return false;
-    }
-    bool const served = state && state->evacuatedZones == next.evacuatedZones &&
-                        StateVersion{state->configurationEpoch, state->configurationSequence} ==
-                            StateVersion{next.configurationEpoch, next.configurationSequence};
-    if (state) {
-      feed.replaced(now, *state);
-    }
-    state = std::move(next);
-    state->receipts.clear();
-    if (stateVersion() >= newestKnown) {
-      behindSince.reset();
-    }
-    pollNow = pollNow || !served;
-    return true;
-  }
-
-  void recordFollower(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status) {
-    FollowerReport& report = followers[follower.node];
-    StateVersion const had{report.follower.epoch, report.follower.sequence};
-    StateVersion const has{follower.epoch, follower.sequence};
-    pollNow = pollNow || (had != has && has == stateVersion());
-    report = {follower, status, now};
-    if (followers.size() > maxFollowers) {
-      followers.erase(followers.begin());
-    }
+/// Whether this start of this node is known to a `node` that has caught up and knows nothing newer.
+bool ConfigDelivery::Impl::hasConfirmedIncarnation(std::string const& node) const {
+  std::map<std::string, std::uint64_t>::const_iterator const found = confirmedIncarnations.find(node);
+  return found != confirmedIncarnations.end() && incarnations.trusts(node, found->second);
+}
+
+/// Whether so many nodes have recorded this start that no majority can confirm in the name of the start before.
+bool ConfigDelivery::Impl::recovered() const {
+  if (!listed() || !incarnations.trusts(self.node, peerStatus.boot)) {
+    return false;
   }
+  std::size_t const count = static_cast<std::size_t>(
+      std::count_if(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
+        return entry.node != self.node && hasConfirmedIncarnation(entry.node);
+      }));
+  return count >= (state->roster.size() + 1) / 2;
+}
 
-  std::vector<Outgoing> pushes(TimePoint now) {
-    messages::StateResponse response;
-    response.node = self.node;
-    response.epoch = stateVersion().epoch;
-    response.sequence = stateVersion().sequence;
-    response.primaryAddress = primaryAddress;
-    return feed.push(now, *state, response);
-  }
-
-  messages::Message answer(TimePoint now, messages::StateRequest const& poll) {
-    messages::StateResponse response;
-    response.token = poll.token;
-    response.node = self.node;
-    response.epoch = stateVersion().epoch;
-    response.sequence = stateVersion().sequence;
-    response.primaryAddress = primaryAddress;
-    response.caughtUp = caughtUp;
-    response.boot = peerStatus.boot;
-    response.incarnationsDigest = incarnations.digest();
-    if ((poll.follows || poll.recover) && poll.incarnationsDigest != response.incarnationsDigest) {
-      response.incarnations = incarnations.list();
-    }
-    if (confirmedAt) {
-      response.hasAge = true;
-      response.ageMs = static_cast<std::uint64_t>(std::chrono::duration_cast<Ms>(now - *confirmedAt).count()) + 1;
+messages::StateRequest ConfigDelivery::Impl::makeRequest(TimePoint now, std::string const& address, Purpose purpose) {
+  messages::StateRequest request;
+  request.token = ++lastToken;
+  request.self = self;
+  request.self.epoch = stateVersion().epoch;
+  request.self.sequence = stateVersion().sequence;
+  request.recover = purpose == Purpose::recover;
+  request.follows = purpose == Purpose::follow;
+  request.parts = partVersionsOf(state);
+  request.peerStatuses.push_back(peerStatus);
+  request.incarnationsDigest = incarnations.digest();
+  bool const sends = purpose != Purpose::verify && !knowsIncarnations(address);
+  if (sends) {
+    request.peerStatuses.back().incarnations = incarnations.list();
+  }
+  pendingRequests[request.token] = {
+      address, now, purpose, request.incarnationsDigest, sends, incarnations.holds(self.node, peerStatus.boot)};
+  return request;
+}
+
+messages::StateRequest ConfigDelivery::Impl::makeReport(TimePoint now, std::string const& address, Purpose purpose) {
+  messages::StateRequest request = makeRequest(now, address, purpose);
+  followers.addTo(request);
+  return request;
+}
+
+/// What each response names, whoever it goes to.
+messages::StateResponse ConfigDelivery::Impl::makeResponse() const {
+  messages::StateResponse response;
+  response.node = self.node;
+  response.epoch = stateVersion().epoch;
+  response.sequence = stateVersion().sequence;
+  response.primaryAddress = primaryAddress;
+  return response;
+}
+
+void ConfigDelivery::Impl::expire(TimePoint now) {
+  targets.expire(now);
+  std::erase_if(pendingRequests, [&](std::pair<std::uint64_t const, PendingRequest> const& entry) {
+    bool const late = now - entry.second.at > options.replyMs;
+    if (late) {
+      targets.suspect(entry.second.address, now + options.suspectMs);
     }
-    return feed.answer(now, state ? &*state : nullptr, poll, std::move(response));
+    return late;
+  });
+  followers.expire(now, options.followerMs);
+}
+
+void ConfigDelivery::Impl::poll(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends) {
+  nextPollAt = now + options.pollMs;
+  pollNow = false;
+  messages::Peer const here{self.node, self.address, self.zone, messages::gatewayRole, peerStatus.boot, 0};
+  std::string target = targets.zoneOwner(here, state ? state->roster : std::vector<messages::RosterEntry>{}, peers);
+  std::string const control = targets.controller(primaryAddress, peers);
+  bool const overdue = confirmationOverdue(now);
+  if (target.empty()) {
+    target = control;
+    bool const remote = std::any_of(peers.begin(), peers.end(), [&](messages::Peer const& peer) {
+      return peer.address == control && peer.zone != self.zone;
+    });
+    nextPollAt = state && remote && !overdue ? now + options.remotePollMs : nextPollAt;
+  }
+  if (!target.empty()) {
+    sends.push_back({target, target == control ? makeReport(now, target) : makeRequest(now, target)});
   }
+  if ((overdue || peerStatus.draining) && !control.empty() && control != target) {
+    sends.push_back({control, makeReport(now, control, Purpose::report)});
+  }
+}
 
-  /// A node whose state is old asks nodes of the roster whether they know a newer one.
-  void askRoster(TimePoint now, bool confirmationOverdue, std::vector<Outgoing>& sends) {
-    bool const asksRoster = confirmationOverdue && state && (caughtUp || now - *startedAt >= options.recoverAfterMs);
-    if (!asksRoster) {
-      return;
-    }
-    Purpose const purpose = caughtUp ? Purpose::verify : Purpose::recover;
-    std::size_t const needed = caughtUp ? state->roster.size() / 2 : (state->roster.size() + 1) / 2;
-    StalenessCheck::Answered const answered = [&](std::string const& node) {
-      return caughtUp ? confirmedWithin(now, node, options.peerConfirmationValidMs) : hasConfirmedIncarnation(node);
-    };
-    for (messages::RosterEntry const& entry : stalenessCheck.due(now, state->roster, needed, answered)) {
-      sends.push_back({entry.address, makeRequest(now, entry.address, purpose)});
+/// A node without any state asks one other gateway beside those that it polls.
+void ConfigDelivery::Impl::askForFirstState(TimePoint now, std::vector<messages::Peer> const& peers,
+                                            std::vector<Outgoing>& sends) {
+  if (state || now < nextFirstStateAt) {
+    return;
+  }
+  nextFirstStateAt = now + options.replyMs;
+  std::vector<std::string> gateways;
+  for (messages::Peer const& peer : peers) {
+    if (peer.role == messages::gatewayRole && peer.address != self.address) {
+      gateways.push_back(peer.address);
     }
   }
-
-  bool confirmedWithin(TimePoint now, std::string const& node, Ms time) const {
-    std::map<std::string, TimePoint>::const_iterator const found = peerConfirmations.find(node);
-    return found != peerConfirmations.end() && now - found->second < time;
+  if (!gateways.empty()) {
+    std::string const& chosen = gateways[random() % gateways.size()];
+    sends.push_back({chosen, makeRequest(now, chosen, Purpose::verify)});
   }
+}
 
-  /// Whether this start of this node is known to a settled `node` that knows nothing newer.
-  bool hasConfirmedIncarnation(std::string const& node) const {
-    std::map<std::string, std::uint64_t>::const_iterator const found = confirmedIncarnations.find(node);
-    return found != confirmedIncarnations.end() && incarnations.trusts(node, found->second);
+/// A node whose state is not confirmed by the primary asks nodes of the roster whether they know a newer one.
+void ConfigDelivery::Impl::askRoster(TimePoint now, std::vector<Outgoing>& sends) {
+  if (!state || !confirmationOverdue(now) || (!caughtUp && now - *startedAt < options.recoverAfterMs)) {
+    return;
   }
-
-  /// Another node has named a newer state than this one's. If nothing brings it soon, that node is asked for it, at
-  /// most once in `replyMs`.
-  void noteNewerVersion(TimePoint now, std::string const& address) {
-    behindSince = behindSince.value_or(now);
-    fetchFrom = address;
+  Purpose const purpose = caughtUp ? Purpose::verify : Purpose::recover;
+  std::size_t const needed = caughtUp ? state->roster.size() / 2 : (state->roster.size() + 1) / 2;
+  StalenessCheck::Answered const answered = [&](std::string const& node) {
+    return caughtUp ? freshness.peerConfirmedWithin(now, node, options.peerConfirmationValidMs)
+                    : hasConfirmedIncarnation(node);
+  };
+  for (messages::RosterEntry const& entry : stalenessCheck.due(now, state->roster, needed, answered)) {
+    sends.push_back({entry.address, makeRequest(now, entry.address, purpose)});
   }
+}
 
-  void fetch(TimePoint now, std::vector<Outgoing>& sends) {
-    if (behindSince && now - *behindSince >= options.fetchAfterMs && now >= nextFetchAt) {
-      nextFetchAt = now + options.replyMs;
-      sends.push_back({fetchFrom, makeRequest(now, fetchFrom)});
-    }
+void ConfigDelivery::Impl::fetchNewerState(TimePoint now, std::vector<Outgoing>& sends) {
+  if (std::optional<std::string> const from = fetch.due(now, options.fetchAfterMs, options.replyMs)) {
+    sends.push_back({*from, makeRequest(now, *from)});
   }
+}
 
-  ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateResponse const& message,
-                               std::optional<messages::State> next);
-  void recordPeerDigest(std::string const& address, PendingRequest const& question,
-                        messages::StateResponse const& message);
-  void countConfirmation(PendingRequest const& question, messages::StateResponse const& message);
+messages::Message ConfigDelivery::Impl::answer(TimePoint now, messages::StateRequest const& request) {
+  messages::StateResponse response = makeResponse();
+  response.token = request.token;
+  response.caughtUp = caughtUp;
+  response.boot = peerStatus.boot;
+  response.incarnationsDigest = incarnations.digest();
+  if ((request.follows || request.recover) && request.incarnationsDigest != response.incarnationsDigest) {
+    response.incarnations = incarnations.list();
+  }
+  if (std::optional<TimePoint> const confirmedAt = freshness.primaryConfirmedAt()) {
+    response.hasAge = true;
+    response.ageMs = static_cast<std::uint64_t>(std::chrono::duration_cast<Ms>(now - *confirmedAt).count()) + 1;
+  }
+  return feed.answer(now, state ? &*state : nullptr, request, std::move(response));
+}
 
-  std::optional<TimePoint> majorityConfirmedAt() const {
-    if (!listed()) {
-      return std::nullopt;
-    }
-    std::vector<TimePoint> times;
-    for (messages::RosterEntry const& entry : state->roster) {
-      std::map<std::string, TimePoint>::const_iterator const found = peerConfirmations.find(entry.node);
-      if (entry.node != self.node && found != peerConfirmations.end()) {
-        times.push_back(found->second);
-      }
-    }
-    std::size_t const needed = state->roster.size() / 2;
-    if (times.size() < needed) {
-      return std::nullopt;
-    }
-    if (needed == 0) {
-      return TimePoint::max();
-    }
-    std::sort(times.rbegin(), times.rend());
-    return times[needed - 1];
+bool ConfigDelivery::Impl::adopt(TimePoint now, messages::State next) {
+  if (next.version() <= stateVersion()) {
+    return false;
   }
-};
+  bool const served = state && state->evacuatedZones == next.evacuatedZones &&
+                      configurationVersionOf(*state) == configurationVersionOf(next);
+  if (state) {
+    feed.replaced(now, *state);
+  }
+  state = std::move(next);
+  state->receipts.clear();
+  if (stateVersion() >= newestKnown) {
+    fetch.arrived();
+  }
+  pollNow = pollNow || !served;
+  return true;
+}
 
 ConfigDeliveryStep ConfigDelivery::Impl::onMessage(TimePoint now, std::string const& address,
                                                    messages::StateResponse const& message,
@@ -308,14 +299,9 @@
   incarnations.merge(message.incarnations);
   newestKnown = std::max(newestKnown, StateVersion{message.epoch, message.sequence});
   out.changed = next && adopt(now, *std::move(next));
-  if (!message.primaryAddress.empty()) {
-    pollNow = pollNow || (!state && primaryAddress != message.primaryAddress);
-    primaryAddress = message.primaryAddress;
-  } else if (message.token != 0 && address == primaryAddress) {
-    primaryAddress.clear();
-  }
+  recordPrimary(address, message);
   if (out.changed) {
-    out.sends = pushes(now);
+    out.sends = feed.push(now, *state, makeResponse());
   }
   std::map<std::uint64_t, PendingRequest>::iterator const found = pendingRequests.find(message.token);
   if (message.token == 0 || found == pendingRequests.end()) {
@@ -323,11 +309,11 @@
   }
   PendingRequest const question = found->second;
   recordPeerDigest(address, question, message);
-  suspects.erase(address);
+  targets.answered(address);
   pendingRequests.erase(found);
   if (StateVersion{message.epoch, message.sequence} > stateVersion()) {
     if (question.purpose != Purpose::follow) {
-      noteNewerVersion(now, address);
+      fetch.newerKnown(now, address);
     }
     return out;
   }
@@ -335,6 +321,15 @@
   return out;
 }
 
+void ConfigDelivery::Impl::recordPrimary(std::string const& address, messages::StateResponse const& message) {
+  if (!message.primaryAddress.empty()) {
+    pollNow = pollNow || (!state && primaryAddress != message.primaryAddress);
+    primaryAddress = message.primaryAddress;
+  } else if (message.token != 0 && address == primaryAddress) {
+    primaryAddress.clear();
+  }
+}
+
 /// A peer that lacked records which were not sent along has counted nothing of the poll: it is polled again at once,
 /// and this time is sent them.
 void ConfigDelivery::Impl::recordPeerDigest(std::string const& address, PendingRequest const& question,
@@ -348,30 +343,31 @@
   pollNow = pollNow || (confirms && !counted);
 }
 
+bool ConfigDelivery::Impl::knowsThisStart(PendingRequest const& question,
+                                          messages::StateResponse const& message) const {
+  bool const sameRecords = message.incarnationsDigest == question.incarnationsDigest && question.ownStartRecorded;
+  return sameRecords || std::any_of(message.incarnations.begin(), message.incarnations.end(),
+                                    [&](messages::IncarnationRecord const& incarnation) {
+                                      return incarnation.node == self.node && incarnation.boot == peerStatus.boot;
+                                    });
+}
+
 /// The answer of a node that knows no newer state than this one.
 void ConfigDelivery::Impl::countConfirmation(PendingRequest const& question, messages::StateResponse const& message) {
   if (message.hasAge) {
-    TimePoint const at = question.at - Ms(static_cast<long>(message.ageMs));
-    confirmedAt = confirmedAt ? std::max(*confirmedAt, at) : at;
+    freshness.confirmedByPrimary(question.at - Ms(static_cast<long>(message.ageMs)));
   }
-  bool const sameRecords = message.incarnationsDigest == question.incarnationsDigest && question.ownStartRecorded;
-  bool const recorded =
-      sameRecords || std::any_of(message.incarnations.begin(), message.incarnations.end(),
-                                 [&](messages::IncarnationRecord const& incarnation) {
-                                   return incarnation.node == self.node && incarnation.boot == peerStatus.boot;
-                                 });
-  if (question.purpose == Purpose::recover && message.caughtUp && recorded && !caughtUp) {
+  if (question.purpose == Purpose::recover && message.caughtUp && knowsThisStart(question, message) && !caughtUp) {
     confirmedIncarnations[message.node] = message.boot;
   }
+  std::optional<TimePoint> const confirmedAt = freshness.primaryConfirmedAt();
   bool const confirmedSinceStart = confirmedAt && startedAt && *confirmedAt >= *startedAt;
   if (confirmedSinceStart && !incarnations.trusts(self.node, peerStatus.boot)) {
     incarnations.record(self.node, peerStatus.boot);
   }
   caughtUp = caughtUp || confirmedSinceStart || recovered();
-  if (message.caughtUp &&
-      (peerConfirmations.size() < maxPeerConfirmations || peerConfirmations.contains(message.node))) {
-    TimePoint& peerConfirmation = peerConfirmations[message.node];
-    peerConfirmation = std::max(peerConfirmation, question.at);
+  if (message.caughtUp) {
+    freshness.confirmedByPeer(message.node, question.at);
   }
 }
 
@@ -401,63 +397,13 @@
   Impl& impl = *impl_;
   ConfigDeliveryStep out;
   impl.startedAt = impl.startedAt.value_or(now);
-  std::erase_if(impl.suspects,
-                [&](std::pair<std::string const, TimePoint> const& entry) { return now >= entry.second; });
-  std::erase_if(impl.pendingRequests, [&](std::pair<std::uint64_t const, PendingRequest> const& entry) {
-    bool const late = now - entry.second.at > impl.options.replyMs;
-    if (late) {
-      impl.suspects[entry.second.address] = now + impl.options.suspectMs;
-    }
-    return late;
-  });
-  std::erase_if(impl.followers, [&](std::pair<std::string const, FollowerReport> const& entry) {
-    return now - entry.second.at > impl.options.followerMs;
-  });
-  bool const confirmationOverdue = !impl.confirmedAt || now - *impl.confirmedAt > impl.options.stalenessCheckMs;
+  impl.expire(now);
   if (now >= impl.nextPollAt || impl.pollNow) {
-    impl.nextPollAt = now + impl.options.pollMs;
-    impl.pollNow = false;
-    std::string target;
-    for (std::string const& owner : impl.zoneOwners(peers)) {
-      if (owner == impl.self.address) {
-        break;
-      }
-      if (!impl.suspects.contains(owner)) {
-        target = owner;
-        break;
-      }
-    }
-    std::string const control = impl.controlAddress(peers);
-    bool const remote = std::any_of(peers.begin(), peers.end(), [&](messages::Peer const& peer) {
-      return peer.address == control && peer.zone != impl.self.zone;
-    });
-    if (target.empty()) {
-      target = control;
-      impl.nextPollAt =
-          impl.state && remote && !confirmationOverdue ? now + impl.options.remotePollMs : impl.nextPollAt;
-    }
-    if (!target.empty()) {
-      out.sends.push_back({target, target == control ? impl.makeReport(now, target) : impl.makeRequest(now, target)});
-    }
-    if ((confirmationOverdue || impl.peerStatus.draining) && !control.empty() && control != target) {
-      out.sends.push_back({control, impl.makeReport(now, control, Purpose::report)});
-    }
-  }
-  if (!impl.state && now >= impl.nextFirstStateAt) {
-    impl.nextFirstStateAt = now + impl.options.replyMs;
-    std::vector<std::string> gateways;
-    for (messages::Peer const& peer : peers) {
-      if (peer.role == messages::gatewayRole && peer.address != impl.self.address) {
-        gateways.push_back(peer.address);
-      }
-    }
-    if (!gateways.empty()) {
-      std::string const& chosen = gateways[impl.random() % gateways.size()];
-      out.sends.push_back({chosen, impl.makeRequest(now, chosen, Purpose::verify)});
-    }
+    impl.poll(now, peers, out.sends);
   }
-  impl.askRoster(now, confirmationOverdue, out.sends);
-  impl.fetch(now, out.sends);
+  impl.askForFirstState(now, peers, out.sends);
+  impl.askRoster(now, out.sends);
+  impl.fetchNewerState(now, out.sends);
   return out;
 }
 
@@ -482,7 +428,9 @@
     impl.incarnations.record(peerStatus.node, peerStatus.boot);
   }
   if (message.follows) {
-    impl.recordFollower(now, confirms ? message.self : withoutVersion(message.self), peerStatus);
+    messages::Follower const follower = confirms ? message.self : withoutVersion(message.self);
+    bool const confirmedNewest = impl.followers.record(now, follower, peerStatus, impl.stateVersion());
+    impl.pollNow = impl.pollNow || confirmedNewest;
   }
   out.sends.push_back({message.self.address, impl.answer(now, message)});
   return out;
@@ -502,7 +450,7 @@
   return impl.onMessage(now, address, message.response, std::move(next));
 }
 
-void ConfigDelivery::leave() {
+void ConfigDelivery::beginShutdown() {
   impl_->peerStatus.draining = true;
   impl_->pollNow = true;
 }
@@ -513,20 +461,23 @@
   if (!impl.state) {
     return out;
   }
+  std::optional<TimePoint> const confirmedAt = impl.freshness.primaryConfirmedAt();
   out.versionsBehind =
       impl.newestKnown > impl.stateVersion() ? impl.newestKnown.sequence - impl.stateVersion().sequence : 0;
-  out.ageMs = impl.confirmedAt ? std::chrono::duration_cast<Ms>(now - *impl.confirmedAt) : Ms::max();
+  out.ageMs = confirmedAt ? std::chrono::duration_cast<Ms>(now - *confirmedAt) : Ms::max();
   if (!impl.listed() && !impl.peerStatus.draining) {
     out.freshness = ConfigFreshness::notMember;
-  } else if (impl.confirmedAt && now - *impl.confirmedAt <= impl.options.currentMs) {
+    return out;
+  }
+  if (confirmedAt && now - *confirmedAt <= impl.options.currentMs) {
     out.freshness = ConfigFreshness::confirmedByPrimary;
-  } else {
-    std::optional<TimePoint> const confirmedByMajority = impl.majorityConfirmedAt();
-    bool const majorityIsFresh =
-        impl.caughtUp && confirmedByMajority &&
-        (*confirmedByMajority == TimePoint::max() || now - *confirmedByMajority <= impl.options.currentMs);
-    out.freshness = majorityIsFresh ? ConfigFreshness::confirmedByMajority : ConfigFreshness::stale;
+    return out;
   }
+  std::optional<TimePoint> const majorityAt =
+      impl.listed() ? impl.freshness.majorityConfirmedAt(impl.state->roster, impl.self.node) : std::nullopt;
+  bool const majorityIsFresh =
+      impl.caughtUp && majorityAt && (*majorityAt == TimePoint::max() || now - *majorityAt <= impl.options.currentMs);
+  out.freshness = majorityIsFresh ? ConfigFreshness::confirmedByMajority : ConfigFreshness::stale;
   return out;
 }
 
--- a/libs/distribution/src/peer_views.cpp
+++ b/libs/distribution/src/peer_views.cpp
@@ -1,7 +1,5 @@
 #include "limeramp/distribution/peer_views.h"
 
-#include <xxhash.h>
-
 #include <algorithm>
 #include <map>
 #include <random>
@@ -171,14 +169,4 @@
   return aliveSeeds == impl_->foundingSeeds.size() || (waited && 2 * aliveSeeds > impl_->foundingSeeds.size());
 }
 
-std::vector<std::string> rankByRendezvousHash(std::string const& topic, std::vector<std::string> nodes) {
-  std::uint64_t const topicHash = XXH64(topic.data(), topic.size(), 0);
-  std::sort(nodes.begin(), nodes.end(), [&](std::string const& left, std::string const& right) {
-    std::uint64_t const first = XXH64(left.data(), left.size(), topicHash);
-    std::uint64_t const second = XXH64(right.data(), right.size(), topicHash);
-    return first != second ? first > second : left < right;
-  });
-  return nodes;
-}
-
 }  // namespace limeramp::distribution
--- a/libs/gateway/src/event_loop.cpp
+++ b/libs/gateway/src/event_loop.cpp
@@ -115,7 +115,7 @@
 void GatewayServer::Impl::on(DrainRequested&) {
   draining = true;
   listeners.drain();
-  delivery.leave();
+  delivery.beginShutdown();
   if (delivery.state()) {
     updateFleetPosition();
   }
--- a/libs/gateway/src/forwarding.cpp
+++ b/libs/gateway/src/forwarding.cpp
@@ -67,8 +67,7 @@
 void GatewayServer::Impl::admit(net::Request content, net::Responder respond, bool forwarded,
                                 std::optional<Ms> remainingMs) {
   distribution::ConfigFreshness const freshness = delivery.status(Clock::now()).freshness;
-  if (freshness != distribution::ConfigFreshness::confirmedByPrimary &&
-      freshness != distribution::ConfigFreshness::confirmedByMajority) {
+  if (!distribution::mayServe(freshness)) {
     ++refusedStale;
     respond(adapter.writeRefusal({RefusalReason::stale, "this node's configuration is " + nameOf(freshness),
                                   retry::Verdict::notRun, staleRetryMs, "", ""}));
--- a/libs/gateway/src/gateway_server.cpp
+++ b/libs/gateway/src/gateway_server.cpp
@@ -19,8 +19,8 @@
 
 dispatch::DispatchOptions dispatchOptionsOf(config::Settings const& settings) {
   dispatch::DispatchOptions options;
-  options.maxRequests = settings.maxRequests;
-  options.hedge = settings.rerun;
+  options.queue.maxRequests = settings.maxRequests;
+  options.hedging.enabled = settings.rerun;
   return options;
 }
 
--- a/libs/gateway/src/request_manager.cpp
+++ b/libs/gateway/src/request_manager.cpp
@@ -263,11 +263,11 @@
     }
     reply(finish.request, std::move(answer));
   } else {
-    RefusalReason const kind = finish.verdict == retry::Verdict::notRun ? RefusalReason::overloaded
-                               : finish.reason == "deadline"            ? RefusalReason::deadline
-                                                                        : RefusalReason::failed;
-    refuse(finish.request,
-           {kind, finish.reason, finish.verdict, finish.retryAfter, entry.id, entry.snapshot->version.text()});
+    RefusalReason const kind = finish.verdict == retry::Verdict::notRun                   ? RefusalReason::overloaded
+                               : finish.reason == dispatch::FinishReason::deadlineReached ? RefusalReason::deadline
+                                                                                          : RefusalReason::failed;
+    refuse(finish.request, {kind, std::string(dispatch::textOf(finish.reason)), finish.verdict, finish.retryAfter,
+                            entry.id, entry.snapshot->version.text()});
   }
   openRequests.erase(found);
 }
--- a/libs/gateway/src/status_pages.cpp
+++ b/libs/gateway/src/status_pages.cpp
@@ -118,8 +118,7 @@
   if (draining) {
     return "draining";
   }
-  if (status.freshness != distribution::ConfigFreshness::confirmedByPrimary &&
-      status.freshness != distribution::ConfigFreshness::confirmedByMajority) {
+  if (!distribution::mayServe(status.freshness)) {
     return "configuration " + nameOf(status.freshness);
   }
   if (unreadable) {
@@ -148,8 +147,7 @@
 
 net::Answer GatewayServer::Impl::currentConfiguration() const {
   distribution::ConfigFreshness const freshness = delivery.status(Clock::now()).freshness;
-  if (freshness != distribution::ConfigFreshness::confirmedByPrimary &&
-      freshness != distribution::ConfigFreshness::confirmedByMajority) {
+  if (!distribution::mayServe(freshness)) {
     return control::plain(503, "{\"reason\":\"configuration " + nameOf(freshness) + "\"}");
   }
   config::SnapshotPtr const snapshot = requestManager.snapshot();
--- /dev/null
+++ b/libs/messages/include/limeramp/messages/state.h
@@ -0,0 +1,116 @@
+#pragma once
+
+#include "limeramp/messages/codec.h"
+
+#include <compare>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+/// The replicated state and its versions. The same records stand on the controllers' disks.
+namespace limeramp::messages {
+
+/// One node that shares the fleet's duties. `slot` numbers its share of the retry budget.
+struct RosterEntry {
+  static constexpr char const* name = "RosterEntry";
+  std::string node;
+  std::string address;
+  std::string zone;
+  std::uint64_t slot = 0;
+  bool operator==(RosterEntry const&) const = default;
+  template <typename V, typename T>
+  static void describe(V& visit, T& self) {
+    visit("node", self.node);
+    visit("address", self.address);
+    visit("zone", self.zone);
+    visit("slot", self.slot);
+  }
+};
+
+/// Remembers one order that was carried out, so that its repetition is recognised by every later primary.
+struct Receipt {
+  static constexpr char const* name = "Receipt";
+  std::string change;
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
+  std::string digest;
+  std::uint64_t revision = 0;
+  bool operator==(Receipt const&) const = default;
+  template <typename V, typename T>
+  static void describe(V& visit, T& self) {
+    visit("change", self.change);
+    visit("epoch", self.epoch);
+    visit("sequence", self.sequence);
+    visit("digest", self.digest);
+    visit("revision", self.revision);
+  }
+};
+
+/// Orders replicated states: first by the epoch whose primary wrote them, then by their sequence within it. Versions
+/// are unique: one primary leads an epoch, and it numbers its changes without gaps.
+struct StateVersion {
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
+  auto operator<=>(StateVersion const&) const = default;
+};
+
+/// All that the controllers replicate: the configuration, the roster, evacuated zones and the receipts of orders.
+/// Invariant: `epoch`, `sequence` is its version; the configuration and the roster keep the version that last changed
+/// them.
+struct State {
+  static constexpr char const* name = "State";
+  std::uint64_t epoch = 0;
+  std::uint64_t sequence = 0;
+  std::uint64_t configurationEpoch = 0;
+  std::uint64_t configurationSequence = 0;
+  std::string document;
+  std::vector<RosterEntry> roster;
+  std::vector<RosterEntry> priorRoster;
+  std::uint64_t rosterEpoch = 0;
+  std::uint64_t rosterSequence = 0;
+  std::vector<Receipt> receipts;
+  std::uint64_t revision = 0;
+  std::vector<std::string> evacuatedZones;
+  std::uint64_t forgottenEpoch = 0;
+  std::uint64_t forgottenSequence = 0;
+  std::uint64_t forgottenRevision = 0;
+  StateVersion version() const { return {epoch, sequence}; }
+  bool operator==(State const&) const = default;
+  template <typename V, typename T>
+  static void describe(V& visit, T& self) {
+    visit("epoch", self.epoch);
+    visit("sequence", self.sequence);
+    visit("configurationEpoch", self.configurationEpoch);
+    visit("configurationSequence", self.configurationSequence);
+    visit("document", self.document);
+    visit("roster", self.roster);
+    visit("priorRoster", self.priorRoster);
+    visit("rosterEpoch", self.rosterEpoch);
+    visit("rosterSequence", self.rosterSequence);
+    visit("receipts", self.receipts);
+    visit("revision", self.revision);
+    visit("emptiedZones", self.evacuatedZones);
+    visit("forgottenEpoch", self.forgottenEpoch);
+    visit("forgottenSequence", self.forgottenSequence);
+    visit("forgottenRevision", self.forgottenRevision);
+  }
+};
+
+/// The versions of the parts of a State that change apart from each other.
+struct PartVersions {
+  static constexpr char const* name = "PartVersions";
+  std::uint64_t configurationEpoch = 0;
+  std::uint64_t configurationSequence = 0;
+  std::uint64_t rosterEpoch = 0;
+  std::uint64_t rosterSequence = 0;
+  bool operator==(PartVersions const&) const = default;
+  template <typename V, typename T>
+  static void describe(V& visit, T& self) {
+    visit("configurationEpoch", self.configurationEpoch);
+    visit("configurationSequence", self.configurationSequence);
+    visit("rosterEpoch", self.rosterEpoch);
+    visit("rosterSequence", self.rosterSequence);
+  }
+};
+
+}  // namespace limeramp::messages
--- a/test_support/capacity/fleet.cpp
+++ b/test_support/capacity/fleet.cpp
@@ -5,6 +5,7 @@
 #include "limeramp/discovery/server_directory.h"
 #include "limeramp/distribution/config_delivery.h"
 #include "limeramp/distribution/peer_views.h"
+#include "limeramp/distribution/rendezvous_hash.h"
 #include "limeramp/replication/replication_group.h"
 #include "simulator/simulated_network.h"
 
@@ -495,8 +496,7 @@
     return false;
   }
   distribution::ConfigFreshness const freshness = member.gateway->delivery->status(network.now()).freshness;
-  return freshness == distribution::ConfigFreshness::confirmedByPrimary ||
-         freshness == distribution::ConfigFreshness::confirmedByMajority;
+  return distribution::mayServe(freshness);
 }
 
 std::optional<std::size_t> Fleet::Impl::primary() const {
@@ -716,7 +716,7 @@
     maybe(rates.restartsPerSecond, counts.restarts, [&] {
       std::size_t const index = someNode();
       std::uint64_t const incarnation = impl.members[index].incarnation;
-      impl.members[index].gateway->delivery->leave();
+      impl.members[index].gateway->delivery->beginShutdown();
       impl.network.after(noticeMs, [&impl, index, incarnation] {
         if (impl.members[index].incarnation == incarnation) {
           impl.stop(index, false);
--- a/test_support/explorer/world_nodes.cpp
+++ b/test_support/explorer/world_nodes.cpp
@@ -11,8 +11,7 @@
 constexpr Ms inForceMs{2100};
 
 bool isServing(distribution::ConfigFreshness freshness) {
-  return freshness == distribution::ConfigFreshness::confirmedByPrimary ||
-         freshness == distribution::ConfigFreshness::confirmedByMajority;
+  return distribution::mayServe(freshness);
 }
 
 }  // namespace
@@ -51,7 +50,7 @@
       return;
     case ActionKind::beginShutdown:
       --budget_.retirements;
-      nodes_[index].delivery->leave();
+      nodes_[index].delivery->beginShutdown();
       return;
     default:
       return;
--- a/test_support/simulator/fleet_simulation.cpp
+++ b/test_support/simulator/fleet_simulation.cpp
@@ -181,8 +181,7 @@
     return false;
   }
   distribution::ConfigFreshness const freshness = machine.gateway->delivery->status(network.now()).freshness;
-  return freshness == distribution::ConfigFreshness::confirmedByPrimary ||
-         freshness == distribution::ConfigFreshness::confirmedByMajority;
+  return distribution::mayServe(freshness);
 }
 
 std::string FleetSimulation::picture() const {
--- a/test_support/simulator/fleet_simulation.h
+++ b/test_support/simulator/fleet_simulation.h
@@ -88,7 +88,7 @@
   void loseHost(std::size_t index);
   void replace(std::size_t index);
   void wipe(std::size_t index);
-  void leave(std::size_t index) { machines[index].gateway->delivery->leave(); }
+  void leave(std::size_t index) { machines[index].gateway->delivery->beginShutdown(); }
   void freeze(std::size_t index) { machines[index].frozen = true; }
   void thaw(std::size_t index);
   void cut(std::size_t from, std::size_t to) { cuts_.emplace(from, to); }
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -1,4 +1,5 @@
 #include "limeramp/control/zones.h"
+#include "limeramp/distribution/rendezvous_hash.h"
 #include "simulator/fleet_simulation.h"
 
 #include <gtest/gtest.h>
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -78,7 +78,7 @@
 
 TEST(Queue, AnIdleServerTakesTheNextQueryOfItsOwnShardOnly) {
   DispatchOptions options;
-  options.maxConcurrentPerServer = 1;
+  options.concurrency.maxPerServer = 1;
   Bench bench(options);
   bench.servers("a", 1);
   bench.servers("b", 1);
@@ -113,7 +113,7 @@
 
 TEST(Rerun, AWaitingQueryGoesBeforeAStraggler) {
   DispatchOptions options;
-  options.maxConcurrentPerServer = 1;
+  options.concurrency.maxPerServer = 1;
   Bench bench(options);
   bench.servers("a", 2);
   bench.warm("a", 5);
@@ -230,8 +230,8 @@
 
 TEST(Refusal, IsSaidOnlyWhenNoByteWentOut) {
   DispatchOptions options;
-  options.maxWaitingPerTenant = 2;
-  options.maxConcurrentPerServer = 1;
+  options.queue.maxWaitingPerTenant = 2;
+  options.concurrency.maxPerServer = 1;
   Bench bench(options);
   bench.servers("a", 1);
   for (std::uint64_t request = 1; request <= 4; ++request) {
@@ -253,7 +253,7 @@
 
 TEST(Fairness, AFloodingTenantDoesNotStarveAnother) {
   DispatchOptions options;
-  options.maxConcurrentPerServer = 1;
+  options.concurrency.maxPerServer = 1;
   Bench bench(options);
   bench.servers("a", 1);
   for (std::uint64_t request = 1; request <= 100; ++request) {
@@ -646,8 +646,8 @@
 
 TEST(Refusal, ComesEarlyForWhatCannotBeInTimeLowestRankFirstAndSaysWhenToReturn) {
   DispatchOptions options;
-  options.maxConcurrentPerServer = 1;
-  options.maxWaitingPerTenant = 4;
+  options.concurrency.maxPerServer = 1;
+  options.queue.maxWaitingPerTenant = 4;
   Rules rules(1, options);
   Bench& bench = rules.bench;
   bench.servers("a", 1);
@@ -669,8 +669,8 @@
     EXPECT_EQ(finish.outcome, RequestOutcome::refused);
     EXPECT_EQ(finish.verdict, retry::Verdict::notRun);
     ASSERT_TRUE(finish.retryAfter.has_value());
-    EXPECT_GE(*finish.retryAfter, options.retryMinMs);
-    EXPECT_LE(*finish.retryAfter, options.retryMaxMs);
+    EXPECT_GE(*finish.retryAfter, options.backoff.minMs);
+    EXPECT_LE(*finish.retryAfter, options.backoff.maxMs);
     EXPECT_NE(finish.request, 1u);
   }
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -487,8 +487,8 @@
   for (std::string const trouble : {"calm", "ragged", "slow", "pauses", "dead shard"}) {
     for (std::string const way : {"off", "1.0", "1.5", "2.0", "3.0", "0.4 of the deadline"}) {
       DispatchOptions options;
-      options.hedge = way != "off";
-      options.stragglerFactor = way[0] == '0' ? 1e6 : options.hedge ? std::stod(way) : 1;
+      options.hedging.enabled = way != "off";
+      options.hedging.factor = way[0] == '0' ? 1e6 : options.hedging.enabled ? std::stod(way) : 1;
       StragglerRow const row = straggle(trouble, options, seeds);
       std::printf(
           "%-10s %-19s p50 %s ms, p99 %s ms, extra %s %% of arrivals, losers %s %% of extra, shards missing %zu\n",
@@ -508,7 +508,7 @@
 TEST(FleetHandOut, ADepartureIsHeededInEveryOrderWithAnAnswer) {
   for (int order = 0; order < 6; ++order) {
     DispatchOptions options;
-    options.maxConcurrentPerServer = 1;
+    options.concurrency.maxPerServer = 1;
     Dispatcher machine(options);
     TimePoint const now{std::chrono::hours(1)};
     std::vector<SendAttempt> sent;
