--- a/libs/config/include/limeramp/config/flags.h
+++ b/libs/config/include/limeramp/config/flags.h
@@ -6,6 +6,7 @@
 #include <variant>
 #include <vector>
 
+/// The command line of a program, and the settings file that it names.
 namespace limeramp::config {
 
 /// The settings that flags and the settings file give together; a flag goes before the file.
@@ -23,8 +24,10 @@
   std::string text;
 };
 
+/// What a command line asks for.
 using FlagOutcome = std::variant<FlagSettings, FlagText, FlagProblem>;
 
+/// Reads a command line.
 FlagOutcome settingsFromFlags(std::string const& program, std::string const& purpose, SettingsNeeds const& needs,
                               int argc, char const* const* argv);
 
--- a/libs/control/include/limeramp/control/answer_gate.h
+++ b/libs/control/include/limeramp/control/answer_gate.h
@@ -13,6 +13,7 @@
 /// decides, never the length of a time.
 namespace limeramp::control {
 
+/// An answer that is held back.
 struct PendingAnswer {
   std::uint64_t ticket = 0;
   TimePoint arrivedAt;
@@ -21,8 +22,10 @@
   std::optional<OrderOutcome> decision;
 };
 
+/// Holds answers until the leadership is confirmed as of their calls. Not safe for use by several threads.
 class AnswerGate {
  public:
+  /// Answers that are held back.
   std::size_t size() const { return pending_.size(); }
   void add(PendingAnswer answer) { pending_.push_back(std::move(answer)); }
 
@@ -33,6 +36,7 @@
   /// Takes out all: the leadership ended.
   std::vector<PendingAnswer> takeAll();
 
+  /// For the model checker.
   void digest(messages::StateDigest& digest) const;
 
  private:
--- a/libs/control/include/limeramp/control/change_receipts.h
+++ b/libs/control/include/limeramp/control/change_receipts.h
@@ -14,8 +14,10 @@
 /// forgotten, so it must not be refused as if it had not been.
 namespace limeramp::control {
 
+/// `otherContent`: the key was used before for another order.
 enum class ReceiptMatch { none, same, otherContent };
 
+/// What the receipts say about an order.
 struct ReceiptLookup {
   ReceiptMatch match = ReceiptMatch::none;
   /// The version that the change got, and its revision if it named one.
@@ -23,6 +25,7 @@
   std::uint64_t revision = 0;
 };
 
+/// Looks an order up by its key.
 ReceiptLookup findReceipt(messages::State const& state, Change const& change);
 
 /// Notes in `state` that the change was taken as the state's current configuration. Keeps `most` receipts.
--- a/libs/control/include/limeramp/control/operator_api.h
+++ b/libs/control/include/limeramp/control/operator_api.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <variant>
 
+/// Reads and writes operators' calls in limeramp's own protocol (docs/interface.md). Pure functions.
 namespace limeramp::control {
 
 constexpr char const* configurationPath = "/limeramp/configuration";
@@ -16,23 +17,33 @@
 /// Names an order; the answer that decides it carries the name back.
 constexpr char const* changeHeader = "limeramp-change";
 constexpr char const* versionHeader = "limeramp-version";
+/// How long an order waits whose caller names no deadline.
 constexpr std::chrono::milliseconds operatorWaitMs{900};
 
+/// The calls of operators. `none`: another call, or none of ours.
 enum class OperatorCall { none, change, read, removeNodes };
 
+/// Which call a request is, by method and path.
 OperatorCall operatorCallOf(net::Request const& request);
+/// The deadline of a call that came at `arrivedAt`, or the answer to a malformed one.
 std::variant<TimePoint, net::Answer> readDeadline(net::Request const& request, TimePoint arrivedAt);
 /// Reads an order that came at `arrivedAt`. Without a key of the caller's, its key is derived from the content and the
 /// base alone, so that a repetition has the same one at every node.
 std::variant<Change, net::Answer> readChange(net::Request const& request, TimePoint arrivedAt);
+/// The nodes that an order names.
 std::variant<std::vector<std::string>, net::Answer> readRemoveNodes(std::string const& body);
+/// The gateway that holds the configuration.
 std::variant<std::string, net::Answer> readForceNewGroup(std::string const& body);
+/// Whether a probe's result proves that the process of `node` has ended: the port refuses, or another node answers.
 bool provesGone(net::Exchange const& exchange, std::string const& node);
+/// Statuses: 200 taken, 400 refused, 409 conflict, 503 not run, 504 unknown.
 net::Answer answerOf(OrderOutcome const& decided, std::string const& change);
 net::Answer answerOf(ConfigurationRead const& back);
 /// The order that an answer of a primary decides: by its header, or by its body if an older version wrote it.
 std::optional<std::string> decidedChange(net::Answer const& answer);
+/// The answer to a caller whose order was relayed.
 net::Answer relayAnswer(net::Exchange const& exchange, std::string const& change);
+/// An answer with a JSON body.
 net::Answer plain(int status, std::string body);
 
 }  // namespace limeramp::control
--- a/libs/control/include/limeramp/control/order_evaluator.h
+++ b/libs/control/include/limeramp/control/order_evaluator.h
@@ -29,8 +29,10 @@
   std::vector<config::Problem> problems;
 };
 
+/// What is to be done about an order.
 using Evaluation = std::variant<NewState, AlreadyTaken, Rejection>;
 
+/// Holds nothing but its options and the schema.
 class OrderEvaluator {
  public:
   OrderEvaluator(ConfigServiceOptions const& options, config::ConfigSchema schema);
--- a/libs/control/include/limeramp/control/order_forwarder.h
+++ b/libs/control/include/limeramp/control/order_forwarder.h
@@ -7,14 +7,18 @@
 #include <memory>
 #include <string>
 
+/// Carries a Relay's effects out over HTTP.
 namespace limeramp::control {
 
+/// What came of one attempt, on its way back to the thread that owns the forwarder.
 struct ForwardFinished {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   net::Exchange exchange;
 };
 
+/// Forwards operators' calls to the primary. Belongs to one thread; `post` brings results back to it and is called on
+/// the network's thread.
 class OrderForwarder {
  public:
   using Post = std::function<void(ForwardFinished)>;
--- a/libs/control/include/limeramp/control/relay.h
+++ b/libs/control/include/limeramp/control/relay.h
@@ -8,17 +8,22 @@
 #include <variant>
 #include <vector>
 
+/// Hands an operator's order on from any node to the primary, again and again until it is decided or its deadline
+/// passes.
 namespace limeramp::control {
 
+/// Bounds of the relay.
 struct RelayOptions {
   std::size_t maxRelays = 256;
   std::chrono::milliseconds againMs{200};
 };
 
+/// An order that must be decided by the primary.
 struct RelayRequested {
   std::uint64_t ticket = 0;
   TimePoint deadline;
 };
+/// Where the primary is now; empty if it is not known.
 struct RelayPrimary {
   std::string address;
 };
@@ -31,29 +36,37 @@
   /// No answer, or one that decides nothing.
   mayHaveRun
 };
+/// What came of an attempt.
 struct RelayAttemptFinished {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   RelayOutcome outcome = RelayOutcome::mayHaveRun;
 };
 
+/// All that can happen to relayed orders.
 using RelayEvent = std::variant<RelayRequested, RelayPrimary, RelayAttemptFinished, Tick>;
 
+/// Send the order there. It names its key, so that it is carried out once however often it is sent.
 struct RelaySend {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   std::string address;
   TimePoint deadline;
 };
+/// The attempt is no longer wanted.
 struct RelayCancel {
   std::uint64_t attempt = 0;
 };
+/// The last attempt's answer decides the order: hand it to the caller.
 struct RelayDone {
   std::uint64_t ticket = 0;
 };
 
+/// All that a step can ask for.
 using RelayEffect = std::variant<RelaySend, RelayCancel, RelayDone, OrderOutcome>;
 
+/// A pure state machine. Each order ends with RelayDone or with an OrderOutcome; `notRun` only if no attempt may have
+/// run. Not safe for use by several threads.
 class Relay {
  public:
   Relay(RelayOptions const& options, std::uint64_t firstAttempt);
@@ -61,6 +74,7 @@
   Relay(Relay&&) noexcept;
   Relay& operator=(Relay&&) noexcept;
 
+  /// Takes one event; effects are to be carried out in their order.
   std::vector<RelayEffect> step(TimePoint now, RelayEvent const& event);
 
  private:
--- a/libs/dispatch/src/dispatcher_impl.h
+++ b/libs/dispatch/src/dispatcher_impl.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include "limeramp/dispatch/dispatcher.h"
+#include "limeramp/retry/retry_budget.h"
 
 #include <array>
 #include <compare>
--- a/libs/distribution/include/limeramp/distribution/config_delivery.h
+++ b/libs/distribution/include/limeramp/distribution/config_delivery.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+/// Bringing the replicated state to every node.
 namespace limeramp::distribution {
 
 /// How often a node polls, and how long what it heard stays good. Shorter times bring a change and the loss of a node
@@ -62,6 +63,7 @@
   return freshness == ConfigFreshness::confirmedByPrimary || freshness == ConfigFreshness::confirmedByMajority;
 }
 
+/// How far this node is behind, for readiness and status pages.
 struct DeliveryStatus {
   ConfigFreshness freshness = ConfigFreshness::noConfiguration;
   /// Since the primary last confirmed the state; milliseconds::max() if it never did.
@@ -70,6 +72,7 @@
   std::uint64_t versionsBehind = 0;
 };
 
+/// What a step asks for.
 struct ConfigDeliveryStep {
   std::vector<Outgoing> sends;
   /// Whether state() is a newer one than before.
--- a/libs/distribution/include/limeramp/distribution/incarnations.h
+++ b/libs/distribution/include/limeramp/distribution/incarnations.h
@@ -20,6 +20,7 @@
   /// The digest of a set without records. No digest is 0, which on the wire means "none given".
   static constexpr std::uint64_t emptyDigest = 1;
 
+  /// Takes in records, whoever sent them.
   void merge(std::vector<messages::IncarnationRecord> const& received);
 
   /// Takes in the records of a sender whose set has `senderDigest` (0 from versions that give none). The sender leaves
@@ -36,6 +37,7 @@
   /// Whether `boot` is the start recorded for `node`.
   bool holds(std::string const& node, std::uint64_t boot) const;
 
+  /// Names the set, and its records by node.
   std::uint64_t digest() const { return digest_; }
   std::vector<messages::IncarnationRecord> list() const;
 
--- a/libs/distribution/include/limeramp/distribution/peer_views.h
+++ b/libs/distribution/include/limeramp/distribution/peer_views.h
@@ -10,8 +10,10 @@
 #include <utility>
 #include <vector>
 
+/// Finding other processes of the fleet.
 namespace limeramp::distribution {
 
+/// All state machines count on the steady clock of their own machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
 /// A message for the process at `address`. Sending may lose it; every sender repeats what matters.
--- a/libs/distribution/include/limeramp/distribution/staleness_check.h
+++ b/libs/distribution/include/limeramp/distribution/staleness_check.h
@@ -9,10 +9,13 @@
 #include <string>
 #include <vector>
 
+/// Asking other nodes whether a newer state is known.
 namespace limeramp::distribution {
 
+/// The steady clock of this machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
+/// How often and whom a node asks.
 struct StalenessCheckOptions {
   /// Questions go out at most once in this time.
   std::chrono::milliseconds sliceMs{112};
--- a/libs/distribution/include/limeramp/distribution/state_feed.h
+++ b/libs/distribution/include/limeramp/distribution/state_feed.h
@@ -17,6 +17,7 @@
 /// could have arrived over a slow link, so that a link which is slower than the polls does not fill up.
 namespace limeramp::distribution {
 
+/// Pace of the pushes.
 struct StateFeedOptions {
   /// A follower that has not polled for this long is sent no pushes.
   std::chrono::milliseconds followerMs{2000};
@@ -27,6 +28,7 @@
   std::size_t maxFollowers = 1000;
 };
 
+/// One for each process that hands states on. Not safe for use by several threads.
 class StateFeed {
  public:
   explicit StateFeed(StateFeedOptions const& options = {}) : options_(options) {}
--- a/libs/distribution/include/limeramp/distribution/state_update.h
+++ b/libs/distribution/include/limeramp/distribution/state_update.h
@@ -14,6 +14,7 @@
 /// The versions of the parts of a state; all 0 for none.
 messages::PartVersions partVersionsOf(std::optional<messages::State> const& state);
 
+/// What turns `from` into `to`, and the roster that a difference makes of another.
 messages::RosterDifference differenceOf(std::vector<messages::RosterEntry> const& from,
                                         std::vector<messages::RosterEntry> const& to);
 std::vector<messages::RosterEntry> applyDifference(std::vector<messages::RosterEntry> roster,
@@ -22,6 +23,7 @@
 /// The last rosters that were published, so that a follower which names one of them is sent the difference.
 class RosterHistory {
  public:
+  /// The state's roster was published; the oldest one is dropped beyond a fixed number.
   void remember(messages::State const& state);
   /// Null if the version is not among the last ones. Version 0, 0 is the empty roster and always known.
   std::vector<messages::RosterEntry> const* find(messages::StateVersion const& version) const;
--- a/libs/logging/include/limeramp/logging/logging.h
+++ b/libs/logging/include/limeramp/logging/logging.h
@@ -5,10 +5,13 @@
 #include <string>
 #include <string_view>
 
+/// Numbered log events. docs/events.md is their catalogue; a number is never given to another event.
 namespace limeramp::logging {
 
+/// How urgent an event is: an error needs somebody, a warning should be looked at, the others tell what happens.
 enum class Level { debug, info, warning, error };
 
+/// The number is part of the interface: operators search for it.
 enum class Event : int {
   processStarted = 100,
   processStopping = 101,
@@ -49,6 +52,7 @@
   rosterChanged = 602,
 };
 
+/// One row of the catalogue.
 struct EventInfo {
   Event event;
   Level level;
@@ -56,14 +60,19 @@
   std::string_view meaning;
 };
 
+/// All events, by number.
 std::span<EventInfo const> catalogue();
 
+/// One `name=value` of a line.
 struct Field {
   std::string_view name;
   std::string value;
 };
 
+/// Writes lines of `minimum` and above to standard error, as `program@node`. Call it once, before any thread is
+/// started.
 void open(std::string const& program, std::string const& node, Level minimum);
+/// Logs one event. Safe to call from any thread; does nothing before open().
 void raise(Event event, std::initializer_list<Field> fields = {});
 
 }  // namespace limeramp::logging
--- a/libs/messages/include/limeramp/messages/codec.h
+++ b/libs/messages/include/limeramp/messages/codec.h
@@ -10,11 +10,18 @@
 #include <type_traits>
 #include <vector>
 
+/// Avro records in binary form. A record describes its fields once, in `describe`; schema, writing and reading follow
+/// from it. A reader resolves the writer's schema field by field, by name: fields that the writer does not know keep
+/// their default, fields that the reader does not know are passed over. Malformed bytes end in a status, never in
+/// undefined behaviour; sizes and depths are bounded.
 namespace limeramp::messages {
 
+/// Puts a checksum before the bytes.
 std::string withChecksum(std::string const& bytes);
+/// The bytes behind a checksum that matches; nothing otherwise. Points into `bytes`.
 std::optional<std::string_view> verifyChecksum(std::string_view bytes);
 
+/// Writes one record of a schema, field by field, through Avro C.
 class Writer {
  public:
   explicit Writer(std::string const& schema);
@@ -22,14 +29,17 @@
   Writer(Writer const&) = delete;
   Writer& operator=(Writer const&) = delete;
 
+  /// Steps into a field, the next item of an array, or a branch of a union; leave() steps out again.
   void enter(char const* name);
   void append();
   void branch(int which);
   void leave();
+  /// Writes the value where the writer stands.
   void put(std::int64_t value);
   void put(bool value);
   void put(double value);
   void put(std::string const& value);
+  /// The bytes of the record.
   std::string finish();
 
  private:
@@ -37,6 +47,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
+/// Reads one record that was written under `schema`. After the first fault good() is false and all reads give defaults.
 class Source {
  public:
   Source(std::string const& schema, std::string_view bytes);
@@ -44,17 +55,22 @@
   Source(Source const&) = delete;
   Source& operator=(Source const&) = delete;
 
+  /// False once anything was malformed.
   bool good() const;
+  /// Whether the writer knew the field; enter() steps into it.
   bool has(char const* name);
   bool enter(char const* name);
+  /// Items of the array here; item() steps into one, branch() into the chosen branch of a union, leave() out again.
   std::size_t count();
   bool item(std::size_t index);
   int branch();
   void leave();
+  /// Reads the value here.
   void get(std::int64_t& value);
   void get(bool& value);
   void get(double& value);
   void get(std::string& value);
+  /// Makes the source bad.
   void invalidate();
 
  private:
@@ -62,17 +78,22 @@
   std::unique_ptr<Impl> impl_;
 };
 
+/// Kinds of fields that are written as arrays.
 template <typename T>
 struct IsVector : std::false_type {};
 template <typename T>
 struct IsVector<std::vector<T>> : std::true_type {};
+
+/// Kinds of fields that are written as unions with null.
 template <typename T>
 struct IsOptional : std::false_type {};
 template <typename T>
 struct IsOptional<std::optional<T>> : std::true_type {};
 
+/// Makes the Avro schema of a described record.
 class SchemaText {
  public:
+  /// The schema of T, with all records that it holds.
   template <typename T>
   static std::string of() {
     SchemaText maker;
@@ -120,6 +141,7 @@
   std::vector<std::string> named_;
 };
 
+/// Visits a described record and writes it.
 class Packer {
  public:
   explicit Packer(Writer& writer) : writer_(writer) {}
@@ -131,6 +153,7 @@
     writer_.leave();
   }
 
+  /// Writes a value of any kind of field.
   template <typename T>
   void write(T const& value) {
     if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::string>) {
@@ -160,6 +183,7 @@
   Writer& writer_;
 };
 
+/// Visits a described record and reads it.
 class Unpacker {
  public:
   static constexpr bool reads = true;
@@ -173,6 +197,7 @@
     }
   }
 
+  /// Reads a value of any kind of field.
   template <typename T>
   void read(T& value) {
     if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::string> || std::is_same_v<T, double>) {
@@ -204,12 +229,14 @@
   Source& source_;
 };
 
+/// The schema of T, made once. Safe to call from any thread.
 template <typename T>
 std::string const& schemaOf() {
   static std::string const text = SchemaText::of<T>();
   return text;
 }
 
+/// The bytes of a record, without its schema.
 template <typename T>
 std::string pack(T const& value) {
   Writer writer(schemaOf<T>());
@@ -218,6 +245,7 @@
   return writer.finish();
 }
 
+/// Reads a record that was written under `writtenBy`. InvalidArgument if it is malformed.
 template <typename T>
 absl::StatusOr<T> unpack(std::string_view bytes, std::string const& writtenBy = schemaOf<T>()) {
   Source source(writtenBy, bytes);
--- a/libs/messages/include/limeramp/messages/state.h
+++ b/libs/messages/include/limeramp/messages/state.h
@@ -74,6 +74,7 @@
   std::uint64_t forgottenEpoch = 0;
   std::uint64_t forgottenSequence = 0;
   std::uint64_t forgottenRevision = 0;
+  /// The version of the whole state.
   StateVersion version() const { return {epoch, sequence}; }
   bool operator==(State const&) const = default;
   template <typename V, typename T>
--- a/libs/messages/include/limeramp/messages/state_digest.h
+++ b/libs/messages/include/limeramp/messages/state_digest.h
@@ -26,6 +26,7 @@
   /// one beyond which its state machine makes no distinction.
   StateDigest(TimePoint now, std::chrono::microseconds horizon) : now_(now), horizon_(horizon) {}
 
+  /// Folds a value in; containers with their length, records by their fields.
   void add(std::string const& value) {
     add(value.size());
     bytes_ += value;
@@ -91,6 +92,7 @@
     add(value);
   }
 
+  /// The hash of all that was added.
   std::uint64_t finish() const;
 
  private:
--- a/libs/messages/src/codec.cpp
+++ b/libs/messages/src/codec.cpp
@@ -84,7 +84,34 @@
   return true;
 }
 
-// libavro takes lengths as they come, negative ones too.
+bool fits(avro_schema_t schema, std::string_view& left, std::size_t& items);
+
+// An array is a series of blocks, each with its number of items; a block of none ends it.
+bool fitsArray(avro_schema_t schema, std::string_view& left, std::size_t& items) {
+  std::int64_t number = 0;
+  while (skimNumber(left, number) && number >= 0) {
+    if (number == 0) {
+      return true;
+    }
+    for (; number > 0; --number) {
+      if (++items > maxItems || !fits(avro_schema_array_items(schema), left, items)) {
+        return false;
+      }
+    }
+  }
+  return false;
+}
+
+bool fitsRecord(avro_schema_t schema, std::string_view& left, std::size_t& items) {
+  for (std::size_t index = 0; index < avro_schema_record_size(schema); ++index) {
+    if (!fits(avro_schema_record_field_get_by_index(schema, static_cast<int>(index)), left, items)) {
+      return false;
+    }
+  }
+  return true;
+}
+
+// Whether the bytes are a value of the schema. libavro takes lengths as they come, negative ones too.
 bool fits(avro_schema_t schema, std::string_view& left, std::size_t& items) {
   std::int64_t number = 0;
   switch (avro_typeof(schema)) {
@@ -99,30 +126,12 @@
     case AVRO_LINK:
       return fits(avro_schema_link_target(schema), left, items);
     case AVRO_ARRAY:
-      while (skimNumber(left, number)) {
-        if (number == 0) {
-          return true;
-        }
-        for (; number > 0; --number) {
-          if (++items > maxItems || !fits(avro_schema_array_items(schema), left, items)) {
-            return false;
-          }
-        }
-        if (number < 0) {
-          return false;
-        }
-      }
-      return false;
+      return fitsArray(schema, left, items);
     case AVRO_UNION:
       return skimNumber(left, number) &&
              (number == 0 || (number == 1 && fits(avro_schema_union_branch(schema, 1), left, items)));
     case AVRO_RECORD:
-      for (std::size_t index = 0; index < avro_schema_record_size(schema); ++index) {
-        if (!fits(avro_schema_record_field_get_by_index(schema, static_cast<int>(index)), left, items)) {
-          return false;
-        }
-      }
-      return true;
+      return fitsRecord(schema, left, items);
     default:
       return false;
   }
--- a/libs/node/include/limeramp/node/listeners.h
+++ b/libs/node/include/limeramp/node/listeners.h
@@ -6,11 +6,13 @@
 #include <string>
 #include <vector>
 
+/// The listeners of one process.
 namespace limeramp::node {
 
 /// The HTTP servers of one process, by the kind of caller that each is for.
 class Listeners {
  public:
+  /// Whom a listener is for.
   enum class Audience { peers, operators, readiness, callers };
 
   explicit Listeners(net::Network& network) : network_(network) {}
--- a/libs/node/include/limeramp/node/peer_link.h
+++ b/libs/node/include/limeramp/node/peer_link.h
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+/// The way between the processes of one fleet.
 namespace limeramp::node {
 
 /// The messages between the processes of one fleet: puts them into envelopes, sends them, and opens those that arrive.
@@ -20,6 +21,7 @@
   /// @param address where others reach it
   PeerLink(net::Network& network, std::string const& node, std::string const& address);
 
+  /// Sends messages; any may be lost.
   void send(std::string const& fleet, std::string const& address, messages::Message message);
   void sendAll(std::string const& fleet, std::vector<distribution::Outgoing> const& sends);
 
--- a/libs/node/include/limeramp/node/settings_follower.h
+++ b/libs/node/include/limeramp/node/settings_follower.h
@@ -7,8 +7,10 @@
 #include <memory>
 #include <optional>
 
+/// Settings that change while the process runs.
 namespace limeramp::node {
 
+/// The steady clock of this machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
 /// How long a process goes without looking at its settings file.
@@ -37,6 +39,7 @@
   /// @return what to apply, if any setting changed in place
   std::optional<config::SettingsUpdate> reload(TimePoint now);
 
+  /// The settings in force now.
   config::Settings const& inForce() const;
 
  private:
--- a/libs/retry/include/limeramp/retry/verdict.h
+++ b/libs/retry/include/limeramp/retry/verdict.h
@@ -2,10 +2,13 @@
 
 #include <string_view>
 
+/// Whether a request has run: what decides if it may be sent again.
 namespace limeramp::retry {
 
+/// `notRun` is a proof: the request has not run and never will. `mayHaveRun` is what is assumed without one.
 enum class Verdict { notRun, mayHaveRun, ran };
 
+/// The word on the wire.
 constexpr std::string_view nameOf(Verdict verdict) {
   switch (verdict) {
     case Verdict::notRun:
--- a/libs/storage/include/limeramp/storage/record_store.h
+++ b/libs/storage/include/limeramp/storage/record_store.h
@@ -10,32 +10,49 @@
 #include <utility>
 #include <vector>
 
+/// The controllers' disk: a small map of keys and values in a ring of preallocated files.
+///
+/// Each put appends one record with checksum, generation and serial; a turn of the ring begins with a checkpoint of all
+/// values. After a loss of power the store opens with the values of the last put that was synced; a torn record at the
+/// end is cut off, damage before it is reported and never served.
 namespace limeramp::storage {
 
+/// Keys with their new values.
 using Puts = std::vector<std::pair<std::string, std::string>>;
 
+/// Number and size of the files. All are written in full when the store is made.
 struct RingLayout {
   std::size_t files = 4;
   std::size_t fileBytes = 16 << 20;
 };
 
+/// What opening found.
 struct Findings {
+  /// No store was here: this is a new disk.
   bool empty = false;
+  /// The last record was torn and is cut off: normal after a loss of power.
   bool tailTruncated = false;
+  /// A record that had been synced does not read. The values are incomplete: do not serve them.
   bool damaged = false;
   std::string detail;
 };
 
+/// Owned by one thread at a time; blocks on the disk. Only one process can hold a folder.
 class RecordStore {
  public:
+  /// Unavailable if the folder cannot be used or is held by another process.
   static absl::StatusOr<std::unique_ptr<RecordStore>> open(std::string const& folder, RingLayout const& shape = {});
   ~RecordStore();
   RecordStore(RecordStore const&) = delete;
   RecordStore& operator=(RecordStore const&) = delete;
 
+  /// What open() found.
   Findings const& findings() const;
+  /// All current values.
   std::map<std::string, std::string> const& values() const;
+  /// Returns once the values are synced. After an error nothing more may be put: what is on the disk is unknown.
   absl::Status put(Puts const& puts);
+  /// Renames damaged files, for inspection, and begins with an empty store.
   absl::Status setAside();
 
  private:
--- a/test_support/explorer/world_nodes.cpp
+++ b/test_support/explorer/world_nodes.cpp
@@ -10,9 +10,7 @@
 /// How long after its acknowledgement an older version may still be served, as docs/control.md derives it.
 constexpr Ms inForceMs{2100};
 
-bool isServing(distribution::ConfigFreshness freshness) {
-  return distribution::mayServe(freshness);
-}
+bool isServing(distribution::ConfigFreshness freshness) { return distribution::mayServe(freshness); }
 
 }  // namespace
 
--- a/test_support/stub_server.cpp
+++ b/test_support/stub_server.cpp
@@ -248,9 +248,9 @@
       stall.log.open(flags["log"].as<std::string>(), std::ios::app);
     }
     return test_support::standUntilEnded("stub_server", stall.address,
-                                     [&stall](net::Request request, net::Responder respond) {
-                                       stall.serve(std::move(request), std::move(respond));
-                                     });
+                                         [&stall](net::Request request, net::Responder respond) {
+                                           stall.serve(std::move(request), std::move(respond));
+                                         });
   } catch (cxxopts::exceptions::exception const& wrong) {
     std::cerr << "stub_server: " << wrong.what() << '\n';
     return 2;
--- a/tests/audit_check.py
+++ b/tests/audit_check.py
@@ -1,8 +1,6 @@
 """Feeds the drills' audit one fault at a time: it must say broken for that line and held, or not exercised, for the rest."""
 
 import contextlib
-import importlib.machinery
-import importlib.util
 import io
 import os
 import sys
@@ -10,9 +8,8 @@
 
 HERE = os.path.dirname(os.path.abspath(__file__))
 sys.dont_write_bytecode = True
-loader = importlib.machinery.SourceFileLoader("fleet", os.path.join(HERE, "..", "test_support", "fleet"))
-fleet = importlib.util.module_from_spec(importlib.util.spec_from_loader("fleet", loader))
-loader.exec_module(fleet)
+sys.path.insert(0, os.path.join(HERE, "..", "test_support"))
+from fleet_runner.audit import audit  # noqa: E402
 
 DOCUMENT = {"searches": {}, "routes": {}}
 
@@ -59,7 +56,7 @@
         change(story)
         story.write()
         with contextlib.redirect_stdout(io.StringIO()):
-            return [word for _, word, _, _ in fleet.audit(story)]
+            return [word for _, word, _, _ in audit(story)]
 
 
 def answer(**more):
