--- a/libs/query/include/limeramp/query/query_engine.h
+++ b/libs/query/include/limeramp/query/query_engine.h
@@ -10,33 +10,36 @@
 #include <variant>
 #include <vector>
 
-/// SQL queries on copies of a node's tables, by SQLite in memory.
+/// Read-only SQL queries on copies of a node's tables, which SQLite holds in memory.
 namespace limeramp::query {
 
-/// A value of a table.
+/// A value in a table row.
 using Cell = std::variant<std::int64_t, double, std::string>;
 
-/// A copy of a table.
+/// A table to query. Each row has one cell per column.
 struct Table {
   std::string name;
   std::vector<std::string> columns;
   std::vector<std::vector<Cell>> rows;
 };
 
-/// What one query may cost. It is ended when it goes beyond.
-struct Bounds {
+/// Limits of one query. A query that exceeds a limit fails, except that rows beyond `maxRows` or `maxAnswerBytes` are
+/// left out and the answer is marked with `"more":true`.
+struct QueryLimits {
   std::size_t maxQueryBytes = 4096;
   std::size_t maxRows = 1000;
   std::size_t maxAnswerBytes = 1 << 20;
   std::size_t maxMemoryBytes = 64 << 20;
-  std::chrono::milliseconds waitMs{200};
+  /// Run time of the query, without the time to copy the tables.
+  std::chrono::milliseconds timeoutMs{200};
 };
 
-/// Runs one statement that only reads and returns its rows as JSON. InvalidArgument with SQLite's words;
-/// ResourceExhausted beyond the bounds. Blocks the caller.
-absl::StatusOr<std::string> ask(std::vector<Table> const& tables, std::string const& query, Bounds const& bounds = {});
+/// Runs one read-only statement and returns its columns and rows as JSON. InvalidArgument with SQLite's message if it
+/// is rejected, fails or exceeds a limit; ResourceExhausted if no database could be opened. Blocks the caller.
+absl::StatusOr<std::string> runQuery(std::vector<Table> const& tables, std::string const& query,
+                                     QueryLimits const& limits = {});
 
-/// Runs queries on a thread of its own, one after another. `done` is called on that thread. Safe to call from any
+/// Runs queries on a dedicated thread, one at a time. `done` is called on that thread. Safe to call from any
 /// thread.
 class QueryWorker {
  public:
@@ -46,7 +49,7 @@
   QueryWorker(QueryWorker const&) = delete;
   QueryWorker& operator=(QueryWorker const&) = delete;
 
-  /// False if too many queries wait; then `done` is not called.
+  /// Queues a query. False if the queue is full; `done` is then not called.
   bool ask(std::vector<Table> tables, std::string query, Done done);
 
  private:
--- a/libs/query/src/query_engine.cpp
+++ b/libs/query/src/query_engine.cpp
@@ -12,21 +12,21 @@
 
 using Clock = std::chrono::steady_clock;
 
-struct Close {
-  void operator()(sqlite3* base) const { sqlite3_close(base); }
+struct SqliteDeleter {
+  void operator()(sqlite3* database) const { sqlite3_close(database); }
   void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
 };
 
-using Base = std::unique_ptr<sqlite3, Close>;
-using Statement = std::unique_ptr<sqlite3_stmt, Close>;
+using Database = std::unique_ptr<sqlite3, SqliteDeleter>;
+using Statement = std::unique_ptr<sqlite3_stmt, SqliteDeleter>;
 
-absl::Status failure(sqlite3* base) { return absl::InvalidArgumentError(sqlite3_errmsg(base)); }
+absl::Status sqliteError(sqlite3* database) { return absl::InvalidArgumentError(sqlite3_errmsg(database)); }
 
-absl::StatusOr<Statement> prepare(sqlite3* base, std::string const& text) {
+absl::StatusOr<Statement> prepare(sqlite3* database, std::string const& text) {
   sqlite3_stmt* raw = nullptr;
   char const* rest = nullptr;
-  if (sqlite3_prepare_v2(base, text.c_str(), static_cast<int>(text.size()), &raw, &rest) != SQLITE_OK) {
-    return failure(base);
+  if (sqlite3_prepare_v2(database, text.c_str(), static_cast<int>(text.size()), &raw, &rest) != SQLITE_OK) {
+    return sqliteError(database);
   }
   Statement statement(raw);
   if (statement == nullptr) {
@@ -38,7 +38,7 @@
   return statement;
 }
 
-absl::Status fill(sqlite3* base, Table const& table) {
+absl::Status copyTable(sqlite3* database, Table const& table) {
   std::string columns;
   std::string placeholders;
   for (std::string const& column : table.columns) {
@@ -46,11 +46,11 @@
     placeholders += placeholders.empty() ? "?" : ",?";
   }
   std::string const create = "CREATE TABLE \"" + table.name + "\"(" + columns + ")";
-  if (sqlite3_exec(base, create.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) {
-    return failure(base);
+  if (sqlite3_exec(database, create.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) {
+    return sqliteError(database);
   }
   absl::StatusOr<Statement> const insert =
-      prepare(base, "INSERT INTO \"" + table.name + "\" VALUES(" + placeholders + ")");
+      prepare(database, "INSERT INTO \"" + table.name + "\" VALUES(" + placeholders + ")");
   if (!insert.ok()) {
     return insert.status();
   }
@@ -68,22 +68,23 @@
       }
     }
     if (sqlite3_step(insert->get()) != SQLITE_DONE) {
-      return failure(base);
+      return sqliteError(database);
     }
     sqlite3_reset(insert->get());
   }
   return absl::OkStatus();
 }
 
-int admitRead(void*, int action, char const*, char const* second, char const*, char const*) {
+int authorizeReadOnly(void*, int action, char const*, char const* functionName, char const*, char const*) {
   bool const reads = action == SQLITE_SELECT || action == SQLITE_READ || action == SQLITE_RECURSIVE;
-  bool const calls = action == SQLITE_FUNCTION && second != nullptr && std::string_view(second) != "load_extension";
+  bool const calls =
+      action == SQLITE_FUNCTION && functionName != nullptr && std::string_view(functionName) != "load_extension";
   return reads || calls ? SQLITE_OK : SQLITE_DENY;
 }
 
-int tooLate(void* end) { return Clock::now() >= *static_cast<Clock::time_point const*>(end) ? 1 : 0; }
+int deadlinePassed(void* deadline) { return Clock::now() >= *static_cast<Clock::time_point const*>(deadline) ? 1 : 0; }
 
-std::string cellText(sqlite3_stmt* statement, int column) {
+std::string jsonOf(sqlite3_stmt* statement, int column) {
   switch (sqlite3_column_type(statement, column)) {
     case SQLITE_INTEGER:
       return std::to_string(sqlite3_column_int64(statement, column));
@@ -101,34 +102,35 @@
 
 }  // namespace
 
-absl::StatusOr<std::string> ask(std::vector<Table> const& tables, std::string const& query, Bounds const& bounds) {
-  if (query.size() > bounds.maxQueryBytes) {
-    return absl::InvalidArgumentError("longer than " + std::to_string(bounds.maxQueryBytes) + " bytes");
+absl::StatusOr<std::string> runQuery(std::vector<Table> const& tables, std::string const& query,
+                                     QueryLimits const& limits) {
+  if (query.size() > limits.maxQueryBytes) {
+    return absl::InvalidArgumentError("longer than " + std::to_string(limits.maxQueryBytes) + " bytes");
   }
   sqlite3* raw = nullptr;
-  int const opened =
+  int const openStatus =
       sqlite3_open_v2(":memory:", &raw, SQLITE_OPEN_READWRITE | SQLITE_OPEN_MEMORY | SQLITE_OPEN_NOMUTEX, nullptr);
-  Base const base(raw);
-  if (opened != SQLITE_OK) {
+  Database const database(raw);
+  if (openStatus != SQLITE_OK) {
     return absl::ResourceExhaustedError("no memory");
   }
-  sqlite3_limit(base.get(), SQLITE_LIMIT_ATTACHED, 0);
-  sqlite3_limit(base.get(), SQLITE_LIMIT_LENGTH, static_cast<int>(bounds.maxAnswerBytes));
-  sqlite3_limit(base.get(), SQLITE_LIMIT_EXPR_DEPTH, 50);
-  sqlite3_limit(base.get(), SQLITE_LIMIT_COMPOUND_SELECT, 20);
-  std::string const pages =
-      "PRAGMA max_page_count=" + std::to_string(bounds.maxMemoryBytes / 4096) + ";PRAGMA temp_store=MEMORY";
-  sqlite3_exec(base.get(), pages.c_str(), nullptr, nullptr, nullptr);
+  sqlite3_limit(database.get(), SQLITE_LIMIT_ATTACHED, 0);
+  sqlite3_limit(database.get(), SQLITE_LIMIT_LENGTH, static_cast<int>(limits.maxAnswerBytes));
+  sqlite3_limit(database.get(), SQLITE_LIMIT_EXPR_DEPTH, 50);
+  sqlite3_limit(database.get(), SQLITE_LIMIT_COMPOUND_SELECT, 20);
+  std::string const pragmas =
+      "PRAGMA max_page_count=" + std::to_string(limits.maxMemoryBytes / 4096) + ";PRAGMA temp_store=MEMORY";
+  sqlite3_exec(database.get(), pragmas.c_str(), nullptr, nullptr, nullptr);
   for (Table const& table : tables) {
-    absl::Status const filled = fill(base.get(), table);
-    if (!filled.ok()) {
-      return filled;
+    absl::Status const copied = copyTable(database.get(), table);
+    if (!copied.ok()) {
+      return copied;
     }
   }
-  Clock::time_point end = Clock::now() + bounds.waitMs;
-  sqlite3_set_authorizer(base.get(), admitRead, nullptr);
-  sqlite3_progress_handler(base.get(), 1000, tooLate, &end);
-  absl::StatusOr<Statement> const statement = prepare(base.get(), query);
+  Clock::time_point deadline = Clock::now() + limits.timeoutMs;
+  sqlite3_set_authorizer(database.get(), authorizeReadOnly, nullptr);
+  sqlite3_progress_handler(database.get(), 1000, deadlinePassed, &deadline);
+  absl::StatusOr<Statement> const statement = prepare(database.get(), query);
   if (!statement.ok()) {
     return statement.status();
   }
@@ -142,23 +144,23 @@
   std::size_t rows = 0;
   bool more = false;
   for (;;) {
-    int const stepped = sqlite3_step(statement->get());
-    if (stepped == SQLITE_DONE) {
+    int const status = sqlite3_step(statement->get());
+    if (status == SQLITE_DONE) {
       break;
     }
-    if (stepped == SQLITE_INTERRUPT) {
-      return absl::InvalidArgumentError("takes longer than " + std::to_string(bounds.waitMs.count()) + " ms");
+    if (status == SQLITE_INTERRUPT) {
+      return absl::InvalidArgumentError("takes longer than " + std::to_string(limits.timeoutMs.count()) + " ms");
     }
-    if (stepped != SQLITE_ROW) {
-      return failure(base.get());
+    if (status != SQLITE_ROW) {
+      return sqliteError(database.get());
     }
-    if (rows == bounds.maxRows || out.size() > bounds.maxAnswerBytes) {
+    if (rows == limits.maxRows || out.size() > limits.maxAnswerBytes) {
       more = true;
       break;
     }
     out += rows == 0 ? "[" : ",[";
     for (int column = 0; column < columns; ++column) {
-      out += (column == 0 ? "" : ",") + cellText(statement->get(), column);
+      out += (column == 0 ? "" : ",") + jsonOf(statement->get(), column);
     }
     out += "]";
     ++rows;
@@ -167,30 +169,30 @@
 }
 
 struct QueryWorker::Impl {
-  struct OperatorCall {
+  struct Job {
     std::vector<Table> tables;
     std::string query;
     Done done;
   };
-  net::Ring<OperatorCall> ring{8};
+  net::Ring<Job> queue{8};
   std::thread thread;
 };
 
 QueryWorker::QueryWorker() : impl_(std::make_unique<Impl>()) {
   impl_->thread = std::thread([this] {
-    while (std::optional<Impl::OperatorCall> call = impl_->ring.pop()) {
-      call->done(query::ask(call->tables, call->query));
+    while (std::optional<Impl::Job> job = impl_->queue.pop()) {
+      job->done(query::runQuery(job->tables, job->query));
     }
   });
 }
 
 QueryWorker::~QueryWorker() {
-  impl_->ring.close();
+  impl_->queue.close();
   impl_->thread.join();
 }
 
 bool QueryWorker::ask(std::vector<Table> tables, std::string query, Done done) {
-  return impl_->ring.tryPush({std::move(tables), std::move(query), std::move(done)});
+  return impl_->queue.tryPush({std::move(tables), std::move(query), std::move(done)});
 }
 
 }  // namespace limeramp::query
