--- a/libs/dispatch/include/limeramp/dispatch/dispatcher.h
+++ b/libs/dispatch/include/limeramp/dispatch/dispatcher.h
@@ -13,94 +13,96 @@
 #include <variant>
 #include <vector>
 
-/// Decides which server of each shard gets a request, when a shard is asked a second time, and when a request is
-/// answered without a shard. It follows Osprey ("Implementing MapReduce-Style Fault Tolerance in a Shared-Nothing
-/// Distributed Database", sections 3 and 4); docs/osprey.md says what was kept and what was changed.
+/// The scatter-gather dispatcher: decides which server of each shard gets a subrequest, when a subrequest is retried or
+/// hedged, and when a request is answered without all of its shards. It follows Osprey ("Implementing MapReduce-Style
+/// Fault Tolerance in a Shared-Nothing Distributed Database", sections 3 and 4); docs/osprey.md lists what was kept and
+/// what was changed.
 namespace limeramp::dispatch {
 
 using retry::TimePoint;
 
-/// A server as the list of the platform shows it.
+/// A server of a service as the platform's instance list describes it.
 struct ServerEndpoint {
   std::string address;
   std::string zone;
-  /// Requests a second that it bears.
+  /// Requests per second that the server can serve.
   double capacity = 50;
-  /// It will leave, or its zone is evacuated: it gets nothing new.
+  /// The server is about to leave or its zone is being evacuated: it gets no new attempts.
   bool draining = false;
-  /// How long its slow start lasts, and how long ago it was first seen.
+  /// Length of the slow start, and the time since the server was first seen.
   std::chrono::milliseconds slowStartMs{0};
   std::chrono::milliseconds ageMs{0};
-  /// Its start, if the list names one: another start at the same address is another server.
+  /// Identifies one start of the server process; empty if the list names none. The same address with another
+  /// incarnation is another server.
   std::string incarnation{};
-  /// How long it is still warming up, and the requests a second that it bears meanwhile.
+  /// Remaining warm-up time, and the requests per second that the server can serve until then.
   std::chrono::milliseconds warmupMs{0};
   double warmupPerSecond = 0;
 };
 
-/// All servers of a service. Those that are not named are gone.
+/// The full server list of a service. Servers that are not in it are removed.
 struct ServersUpdated {
   std::string service;
   std::vector<ServerEndpoint> rows;
 };
 
-/// This gateway's share of what the fleet may do together.
+/// This gateway's place in the fleet, from which its share of the fleet-wide limits follows.
 struct FleetPosition {
-  /// Gateways of the fleet, and the index of this one among them.
+  /// Number of gateways in the fleet, and this gateway's index among them.
   std::size_t gatewayCount = 1;
   std::size_t gatewayIndex = 0;
-  /// Size of this gateway's retry budget for each service, and its deposit for each first attempt.
+  /// Size of this gateway's retry budget for each service, and the deposit for each first attempt.
   double budgetDepth = 0;
   double budgetRatio = 0.2;
-  /// The gateway's own zone, whose servers are preferred; empty for none.
+  /// The gateway's own zone, whose servers are preferred; empty: no zone is preferred.
   std::string zone{};
 };
 
-/// A request for one server of each of `services`, by shard index.
+/// A request that needs one server of each of `services`; the position in `services` is the shard index.
 struct RequestArrived {
   std::uint64_t request = 0;
-  /// Tenants share a service in turn.
+  /// Tenants share each service by round robin.
   std::string tenant;
   std::vector<std::string> services;
-  /// Shards that must be in for a partial answer.
+  /// Number of shards that must have answered for a partial answer.
   std::size_t minimum = 1;
-  /// Servers that one subrequest may reach.
+  /// Number of attempts of one subrequest that may reach a server.
   std::size_t maxAttempts = 1;
   bool idempotent = false;
   TimePoint deadline;
-  /// When the answer should be there; no target if it is not before the deadline.
+  /// When the answer should be ready. A value in the past or not before the deadline means no target.
   TimePoint latencyTarget{};
-  /// Lower numbers go first.
+  /// Lower numbers are served first.
   std::size_t priority = 0;
-  /// Requests of one kind take about equally long; each kind has its own latencies.
+  /// Requests of one kind take about equally long; latencies are recorded per kind.
   std::size_t kind = 0;
 };
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 struct AttemptFinished {
   std::uint64_t attempt = 0;
-  /// Its answer is usable.
+  /// The attempt returned a usable shard result.
   bool good = false;
-  /// The server is well: its failure, if there was one, lies in the request.
+  /// The server works properly: a failure, if there was one, was caused by the request.
   bool healthy = false;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
-  /// The server's load by its own report; 1 is full use.
+  /// The load that the server reports; 1 is full use.
   std::optional<double> load;
-  /// Another start answered at that address and has not run the request.
+  /// Another incarnation answered at the address and has not run the request.
   bool staleIncarnation = false;
-  /// The server declined because it has too much to do.
+  /// The server refused the attempt because it is overloaded.
   bool overCapacity = false;
-  /// It says that it is warming up for so long.
+  /// Remaining warm-up time that the server reports.
   std::optional<std::chrono::milliseconds> warmupMs{};
 };
 
-/// Time has passed; see nextWake.
+/// Time has passed; due no later than Dispatcher::nextWake.
 struct Tick {};
 
-/// All that can happen to a dispatcher.
+/// All inputs of the dispatcher.
 using DispatchEvent = std::variant<ServersUpdated, FleetPosition, RequestArrived, AttemptFinished, Tick>;
 
-/// Send the request to this server. The attempt is open until AttemptFinished or CancelAttempt.
+/// Send the subrequest to this server. The attempt is open until AttemptFinished or CancelAttempt.
 struct SendAttempt {
   std::uint64_t attempt = 0;
   std::uint64_t request = 0;
@@ -108,65 +110,65 @@
   std::string server;
   std::string incarnation;
   TimePoint deadline;
-  /// It goes to a second server while the first one still works on it.
+  /// Sent while an earlier attempt of the same subrequest is still open at another server.
   bool hedged = false;
 };
 
-/// The attempt is no longer wanted; what comes of it is ignored.
+/// The attempt is no longer needed; its AttemptFinished is ignored.
 struct CancelAttempt {
   std::uint64_t attempt = 0;
 };
 
-/// The answer of this attempt is the one that counts for its shard. Given once for a shard.
+/// Use this attempt's answer as the result of its shard. Emitted at most once per shard of a request.
 struct AcceptShardResult {
   std::uint64_t attempt = 0;
   std::uint64_t request = 0;
   std::size_t shard = 0;
 };
 
-/// `refused`: no attempt may have run. `failed`: one may have.
+/// `refused`: it is certain that no attempt has run. `failed`: an attempt may have run.
 enum class RequestOutcome { complete, partial, refused, failed };
 
 /// Why a request ended without the answer of all its shards.
 enum class FinishReason {
-  /// It did not: all shards are in.
+  /// All shards have answered.
   none,
   /// Refused on arrival: its subrequests could not be served in time, or a queue is full.
   overloaded,
-  /// Every server of a needed shard was tried or may not be tried.
+  /// Every server of a needed shard was tried or is not eligible.
   noServerLeft,
-  /// Fewer shards can still answer than the request needs.
+  /// Fewer shards than the request needs can still answer.
   tooFewShardsLeft,
   deadlineReached,
   latencyTargetReached,
 };
 
-/// The words that callers read.
+/// The text that callers see.
 std::string_view textOf(FinishReason reason);
 
-/// The request is over: answer it now. Given once for each request.
+/// The request is finished: answer the caller now. Emitted once per request.
 struct FinishRequest {
   std::uint64_t request = 0;
   RequestOutcome outcome = RequestOutcome::failed;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
-  /// Indexes of the shards that are not in.
+  /// Indexes of the shards that have not answered.
   std::vector<std::size_t> missing;
   FinishReason reason = FinishReason::none;
-  /// When the caller had better come back.
+  /// When the caller should retry.
   std::optional<std::chrono::milliseconds> retryAfter;
 };
 
-/// An event for the log.
+/// An event to be logged.
 struct LogEntry {
   logging::Event event;
   std::string service;
   std::string server;
 };
 
-/// All that a step can ask for.
+/// All outputs of the dispatcher.
 using DispatchEffect = std::variant<SendAttempt, CancelAttempt, AcceptShardResult, FinishRequest, LogEntry>;
 
-/// How this gateway sees a server, for status pages.
+/// This gateway's view of a server, for status pages.
 struct ServerStatus {
   std::string service;
   std::string address;
@@ -179,7 +181,7 @@
   double load = 0;
 };
 
-/// Counts since the start.
+/// Counts since the dispatcher was created.
 struct Counters {
   std::uint64_t arrivals = 0;
   std::uint64_t attempts = 0;
@@ -191,11 +193,12 @@
   std::uint64_t retryBudgetExhausted = 0;
 };
 
-/// A pure state machine: it reads no clock, sends nothing and starts no thread; it returns what to do.
+/// A pure state machine: it reads no clock, does no I/O and starts no thread; each step returns the effects for the
+/// caller to carry out.
 ///
 /// Guarantees: a subrequest gets servers of its own service only; one that is not idempotent has at most one attempt
-/// that may have run; further attempts that may reach a server are paid from the retry budget; each request is finished
-/// once, by its deadline less a margin. Not safe for use by several threads.
+/// that may have run; a further attempt after one that may have reached a server is paid from the retry budget; each
+/// request is finished once, by its deadline less a margin. Not thread-safe.
 class Dispatcher {
  public:
   explicit Dispatcher(DispatchOptions const& options);
@@ -203,14 +206,14 @@
   Dispatcher(Dispatcher&&) noexcept;
   Dispatcher& operator=(Dispatcher&&) noexcept;
 
-  /// Takes one event. The effects are to be carried out in their order.
+  /// Processes one event. The caller carries out the returned effects in order.
   std::vector<DispatchEffect> step(TimePoint now, DispatchEvent const& event);
-  /// When to send the next Tick; nothing while nothing waits.
+  /// When the next Tick is due; nullopt if nothing is pending.
   std::optional<TimePoint> nextWake(TimePoint now) const;
-  /// All servers, by service and address.
+  /// All servers, sorted by service and address.
   std::vector<ServerStatus> servers(TimePoint now) const;
   Counters counters() const;
-  /// Requests that are open.
+  /// Number of open requests.
   std::size_t requests() const;
 
  private:
--- a/libs/dispatch/include/limeramp/dispatch/options.h
+++ b/libs/dispatch/include/limeramp/dispatch/options.h
@@ -3,139 +3,147 @@
 #include <chrono>
 #include <cstddef>
 
-/// Options of the dispatcher, by the mechanism that they belong to. The defaults serve deadlines from a quarter of a
-/// second to several seconds; none is tuned to one deployment. Times are in milliseconds of the steady clock.
+/// Options of the dispatcher, grouped by mechanism. The defaults suit deadlines from a quarter of a second to several
+/// seconds and no particular deployment. Durations are in milliseconds of the steady clock.
 namespace limeramp::dispatch {
 
-/// How many attempts one server gets from this gateway at once. The limit of each server adapts between 1 and
-/// `maxPerServer`: it rises by a little with each healthy answer and falls when the server seems to queue.
+/// Concurrency limit of this gateway towards each server. The limit adapts between 1 and `maxPerServer`: it rises by
+/// `growth` with each healthy answer and is multiplied by `shrink` when the server appears to queue.
 struct ConcurrencyLimitOptions {
-  /// Attempts at one server at once, and the limit that a new server begins with. Raise it where servers work on many
-  /// requests at once and few gateways share them.
+  /// Upper bound of the limit, and the limit of a new server. Raise it where servers process many requests in parallel
+  /// and few gateways share them.
   std::size_t maxPerServer = 4;
   /// Added to a server's limit with each healthy answer. Raise it to recover faster after a burst.
   double growth = 0.05;
-  /// A server's limit is multiplied by this when it says that it is over capacity or an attempt is cancelled.
+  /// A server's limit is multiplied by this when it reports that it is over capacity, or when an attempt is cancelled
+  /// without another attempt's answer.
   double shrink = 0.7;
 };
 
-/// How many attempts one tenant may have under way at one service. Windows share a service fairly between tenants; a
-/// tenant that is alone keeps at least one attempt a server.
+/// Window of attempts that one tenant may have in flight at one service. Windows share a service fairly between
+/// tenants; the only active tenant keeps a window of at least one attempt per server.
 struct TenantWindowOptions {
-  /// Added to a window that has shrunk before, with each answer while the tenant's requests wait.
+  /// Added to a window that has shrunk before, with each healthy answer while subrequests of the tenant wait.
   double growth = 0.1;
-  /// A window is multiplied by this when answers show that requests queue at the servers.
+  /// A window is multiplied by this when latencies show that requests queue at the servers.
   double shrink = 0.7;
-  /// An answer that took longer than the best ones by this share of its deadline counts as queueing.
+  /// An answer whose latency exceeds the baseline by this share of the request's deadline counts as queueing.
   double queueShareOfDeadline = 0.15;
-  /// The best latency seen is multiplied by this with each answer, so that it follows servers that become slower.
+  /// The baseline is the lowest latency seen. It is multiplied by this with each answer, so that it follows servers
+  /// that become slower.
   double baselineDrift = 1.001;
-  /// A tenant counts as competing for this long after its last request.
+  /// A tenant counts as active for this long after a subrequest of its own was last queued.
   std::chrono::milliseconds activeMs{3000};
 };
 
-/// Bounds on what waits here. A request beyond them is refused at once, unless one of lower priority makes room.
+/// Bounds of the queues. A request beyond them is refused at once, unless a waiting subrequest of lower priority can be
+/// preempted.
 struct QueueOptions {
-  /// Subrequests that wait for one service.
+  /// Subrequests that may wait for one service.
   std::size_t maxWaitingPerService = 512;
-  /// Subrequests of one tenant that wait for one service.
+  /// Subrequests of one tenant that may wait for one service.
   std::size_t maxWaitingPerTenant = 128;
-  /// Requests that are open at once. Settings give it as `max_requests`.
+  /// Requests that may be open at once. Set by the setting `max_requests`.
   std::size_t maxRequests = 4000;
-  /// A service with waiting subrequests is looked at again at the latest after this time.
+  /// A service with waiting subrequests is dispatched again after this time at the latest.
   std::chrono::milliseconds recheckMs{50};
 };
 
-/// When an unfinished attempt counts as a straggler and is asked again at another server. Only idempotent requests are
-/// hedged, within the retry budget, and only while nothing waits for the service (Osprey, section 4).
+/// When an open attempt counts as a straggler and is hedged at another server. Only idempotent requests are hedged,
+/// within the retry budget, and only while no subrequest waits for the service (Osprey, section 4).
 struct HedgingOptions {
-  /// Off: no straggler is asked twice; failed attempts are still retried. Settings give it as `rerun`.
+  /// Off: no attempt is hedged; failed attempts are still retried. Set by the setting `rerun`.
   bool enabled = true;
-  /// A straggler has run longer than `factor` times the `quantile` of recent latencies of its kind. Lower values help
-  /// the slowest answers and cost more of the retry budget.
+  /// A straggler has run longer than `factor` times the `quantile` of recent latencies of its kind. Lower values
+  /// shorten the slowest answers and spend more of the retry budget.
   double factor = 1.5;
   double quantile = 0.95;
   /// No attempt counts as a straggler before this time.
   std::chrono::milliseconds minMs{15};
-  /// The threshold is at most this share of the deadline, and of the latency target while no latency is known.
+  /// The threshold is at most this share of the time until the deadline, and while no latency is known also of the time
+  /// until the latency target.
   double maxShareOfDeadline = 0.4;
-  /// When no server is free for a hedged attempt, it is tried again after this time.
-  std::chrono::milliseconds blockedMs{5};
+  /// When no server is free for a hedged attempt, one is looked for again after this time.
+  std::chrono::milliseconds noServerRetryMs{5};
 };
 
-/// How long before its deadline a request is answered: a share of its time, between two bounds. Raise `minMs` where the
-/// way back to callers is long.
+/// How long before its deadline a request is answered: a share of the time from arrival to deadline, between two bounds
+/// and never more than half of that time. Raise `minMs` where the network latency to callers is high.
 struct DeadlineMarginOptions {
   double shareOfDeadline = 0.06;
   std::chrono::milliseconds minMs{8};
   std::chrono::milliseconds maxMs{30};
 };
 
-/// What happens as a request's latency target nears.
+/// What happens as a request approaches its latency target.
 struct LatencyTargetOptions {
-  /// The target is decided on this long before it is reached.
+  /// The decision whether to answer partially is made this long before the target.
   std::chrono::milliseconds marginMs{8};
-  /// At the target a merged answer goes out if the square of the share of shards that are in reaches this part of the
-  /// square that could still be reached. At 1 the answer waits for all.
+  /// At the target a partial answer is sent if the squared number of shards that have answered is at least this share
+  /// of the squared number that can still be reached. At 1 the answer waits for all shards.
   double partialShare = 0.4;
-  /// A subrequest that no server has got after this share of the target, and that would miss the target, is given up:
-  /// its caller can still try elsewhere in time.
-  double offerShare = 0.25;
+  /// A subrequest that was assigned to no server within this share of the time until the target, and that is expected
+  /// to miss the target, is given up, so that the caller can still try elsewhere in time.
+  double assignShare = 0.25;
 };
 
-/// When a server is taken out of use, and how it comes back (outlier detection).
+/// Outlier detection: when a server is ejected, and how it is readmitted.
 struct OutlierEjectionOptions {
-  /// How long the first ejection lasts; each further one without a healthy answer between doubles it up to `maxMs`.
-  /// Lower it where servers recover within a second; raise it where a failing server costs callers their deadline.
+  /// Length of the first ejection; each further one without a healthy answer in between doubles it, up to `maxMs`.
+  /// Lower it where servers recover within a second; raise it where failing servers make callers miss their deadlines.
   std::chrono::milliseconds baseMs{500};
   std::chrono::milliseconds maxMs{4000};
-  /// Three attempts without an answer eject a server once the first of them is this old.
+  /// Three unanswered attempts in a row eject a server once the first of them began this long ago.
   std::chrono::milliseconds stallMs{1000};
-  /// While no server of a shard serves, one request goes to an ejected server at this interval (half-open probe).
+  /// Half-open probe: while no server of a shard is serving, an ejected server gets one attempt at this interval.
   std::chrono::milliseconds halfOpenProbeMs{350};
-  /// A server that lets an attempt wait longer than its shard's stragglers is passed over for `unresponsiveBaseMs`,
-  /// doubling up to `unresponsiveMaxMs`. Before any latency is known, `unresponsiveInitialMs` is the threshold.
+  /// A server that leaves an attempt unanswered for longer than the straggler threshold of its service gets no attempts
+  /// for `unresponsiveBaseMs`, doubling up to `unresponsiveMaxMs`. Before any latency is known, the threshold is
+  /// `unresponsiveInitialMs`.
   std::chrono::milliseconds unresponsiveInitialMs{100};
   std::chrono::milliseconds unresponsiveBaseMs{100};
   std::chrono::milliseconds unresponsiveMaxMs{1000};
-  /// An attempt that was cancelled counts as still running at its server for as long again as it ran, at most this.
+  /// A cancelled attempt counts as still running at its server for as long as it had already run, at most this long.
   std::chrono::milliseconds abandonedMaxMs{1000};
 };
 
-/// How strongly servers of the gateway's own zone are preferred. The preference fades as their load rises.
+/// How strongly servers of the gateway's own zone are preferred. The preference decreases as their load rises.
 struct ZonePreferenceOptions {
-  /// Part of a server's score that its being near takes off: 0 prefers no zone, towards 1 nothing else counts.
+  /// Share by which the score of a server in the own zone is reduced (the lowest score wins): 0 prefers no zone; near 1
+  /// nothing else counts.
   double bias = 0.9;
-  /// The preference is full up to the first load and gone from the second on. Servers report loads; 1 is full use.
+  /// The preference is full up to the first load, falls linearly and is zero from the second load on. Servers report
+  /// their load; 1 is full use.
   double fullUpToLoad = 1;
   double noneFromLoad = 1.7;
-  /// A near server that is slower than the typical one by this factor is not preferred.
+  /// A server in the own zone is not preferred if its latency is this many times the median of its service.
   double maxLatencyFactor = 3;
-  /// A near server with more attempts under way than this is not preferred.
+  /// A server in the own zone is not preferred if one more attempt would give it more open attempts than this.
   std::size_t maxOpenAttempts = 3;
 };
 
-/// How servers that have just started get their work.
+/// Rate limits of servers that have recently started.
 struct SlowStartOptions {
-  /// A server in slow start begins with this share of its capacity; the share grows evenly over its slow start time.
+  /// A server in slow start begins with this share of its capacity; the share grows linearly over the slow start time.
   double initialShare = 0.2;
-  /// A server that says it is warming up gets, from the whole fleet in any `warmupWindowMs`, at most `warmupOverrun`
-  /// times the rate that it bears, and `warmupSlack` more. Each gateway takes an equal share of these.
+  /// A server that reports that it is warming up gets from the whole fleet, in any `warmupWindowMs`, at most
+  /// `warmupOverrun` times the rate that it can serve, plus `warmupSlack` attempts. Gateways share these equally.
   double warmupOverrun = 1.25;
   double warmupSlack = 4;
   std::chrono::milliseconds warmupWindowMs{1100};
-  /// For this long after the number of gateways changed, a gateway takes the smallest share that any of the numbers
-  /// gives it: gateways learn of the change at different times, and their shares must not add up to more than all.
+  /// For this long after a change of the number of gateways, a gateway takes the smallest share that any of the numbers
+  /// gives it: gateways learn of the change at different times, and their shares must not add up to more than the
+  /// whole.
   std::chrono::milliseconds positionStableMs{3200};
 };
 
-/// Bounds of the time after which a refused caller is told to come back.
+/// Bounds of the retry-after time that refused and failed requests carry.
 struct BackoffOptions {
   std::chrono::milliseconds minMs{20};
   std::chrono::milliseconds maxMs{300};
 };
 
-/// All options of a Dispatcher. Copied when it is made; they do not change afterwards.
+/// All options of a Dispatcher, which copies them on construction; they do not change afterwards.
 struct DispatchOptions {
   ConcurrencyLimitOptions concurrency;
   TenantWindowOptions tenantWindow;
--- a/libs/dispatch/src/dispatcher.cpp
+++ b/libs/dispatch/src/dispatcher.cpp
@@ -22,7 +22,7 @@
   return "";
 }
 
-std::uint32_t Dispatcher::Impl::serviceOf(std::string const& name) {
+std::uint32_t Dispatcher::Impl::findOrAddService(std::string const& name) {
   std::unordered_map<std::string, std::uint32_t>::const_iterator const found = serviceIndex.find(name);
   if (found != serviceIndex.end()) {
     return found->second;
@@ -42,7 +42,7 @@
 
 void Dispatcher::Impl::releaseIfUnused(std::uint32_t index) {
   ServiceState& service = services[index];
-  if (service.subrequests == 0 && service.servers.empty() && !service.name.empty()) {
+  if (service.subrequestCount == 0 && service.servers.empty() && !service.name.empty()) {
     serviceIndex.erase(service.name);
     service = ServiceState{};
     freeServices.push_back(index);
@@ -52,49 +52,51 @@
 void Dispatcher::Impl::markDirty(std::uint32_t index) {
   if (!services[index].dirty) {
     services[index].dirty = true;
-    dirty.push_back(index);
+    dirtyServices.push_back(index);
   }
 }
 
-RequestState* Dispatcher::Impl::find(std::uint64_t request) {
+RequestState* Dispatcher::Impl::findRequest(std::uint64_t request) {
   std::unordered_map<std::uint64_t, RequestState>::iterator const found = requests.find(request);
   return found == requests.end() ? nullptr : &found->second;
 }
 
 void Dispatcher::Impl::on(ServersUpdated const& event) {
-  std::uint32_t const index = serviceOf(event.service);
+  std::uint32_t const index = findOrAddService(event.service);
   ServiceState& service = services[index];
   std::vector<ServerState> next;
   next.reserve(event.rows.size());
-  for (ServerEndpoint const& row : event.rows) {
+  for (ServerEndpoint const& endpoint : event.rows) {
     std::vector<ServerState>::iterator const old =
         std::find_if(service.servers.begin(), service.servers.end(), [&](ServerState const& server) {
-          return server.id != 0 && server.row.address == row.address && server.row.incarnation == row.incarnation;
+          return server.id != 0 && server.endpoint.address == endpoint.address &&
+                 server.endpoint.incarnation == endpoint.incarnation;
         });
     ServerState state;
     if (old == service.servers.end()) {
-      state.id = ++lastServer;
-      state.startedAt = now - row.ageMs;
+      state.id = ++lastServerId;
+      state.startedAt = now - endpoint.ageMs;
+      // Gateways begin with different fills, so that their first attempts at a new server are spread over time.
       state.tokens = static_cast<double>(position.gatewayIndex) /
                      static_cast<double>(std::max<std::size_t>(1, position.gatewayCount));
-      state.tokensAt = now;
-      state.latencyAt = now;
-      state.limit = static_cast<double>(options.concurrency.maxPerServer);
+      state.tokensRefilledAt = now;
+      state.latencyUpdatedAt = now;
+      state.concurrencyLimit = static_cast<double>(options.concurrency.maxPerServer);
     } else {
       state = std::move(*old);
       old->id = 0;
-      state.startedAt = std::min(state.startedAt, now - row.ageMs);
+      state.startedAt = std::min(state.startedAt, now - endpoint.ageMs);
     }
-    state.row = row;
-    if (row.warmupMs.count() > 0) {
-      state.warmupUntil = std::max(state.warmupUntil, now + row.warmupMs);
+    state.endpoint = endpoint;
+    if (endpoint.warmupMs.count() > 0) {
+      state.warmupUntil = std::max(state.warmupUntil, now + endpoint.warmupMs);
     }
     next.push_back(std::move(state));
   }
   service.servers = std::move(next);
   for (TenantState const* const tenant : service.tenantRoundRobin) {
-    for (Waiting const& waiting : tenant->waiting) {
-      review.push_back(waiting.key.request);
+    for (QueueEntry const& waiting : tenant->waiting) {
+      requestsToReview.push_back(waiting.key.request);
     }
   }
   markDirty(index);
@@ -153,26 +155,27 @@
   state.kind = event.kind;
   state.arrivedAt = now;
   state.deadline = event.deadline;
-  double const totalMs = millis(event.deadline - now);
-  double const marginMs =
-      std::min(totalMs / 2, std::clamp(totalMs * options.deadlineMargin.shareOfDeadline,
-                                       millis(options.deadlineMargin.minMs), millis(options.deadlineMargin.maxMs)));
-  state.answerBy = event.deadline - fine(marginMs);
-  state.offerBy = TimePoint::max();
+  double const timeAllowedMs = millis(event.deadline - now);
+  double const marginMs = std::min(
+      timeAllowedMs / 2, std::clamp(timeAllowedMs * options.deadlineMargin.shareOfDeadline,
+                                    millis(options.deadlineMargin.minMs), millis(options.deadlineMargin.maxMs)));
+  state.answerBy = event.deadline - toDuration(marginMs);
+  state.assignBy = TimePoint::max();
   if (event.latencyTarget > now && event.latencyTarget < event.deadline) {
     double const targetMs = millis(event.latencyTarget - now);
-    state.latencyTargetAt = event.latencyTarget - fine(std::min(millis(options.latencyTarget.marginMs), targetMs / 2));
-    state.offerBy = now + fine(targetMs * options.latencyTarget.offerShare);
+    state.latencyTargetAt =
+        event.latencyTarget - toDuration(std::min(millis(options.latencyTarget.marginMs), targetMs / 2));
+    state.assignBy = now + toDuration(targetMs * options.latencyTarget.assignShare);
   }
-  std::size_t crowded = 0;
+  std::size_t overloadedCount = 0;
   state.subrequests.resize(event.services.size());
   for (std::size_t index = 0; index < state.subrequests.size(); ++index) {
     Subrequest& subrequest = state.subrequests[index];
-    subrequest.service = serviceOf(event.services[index]);
+    subrequest.service = findOrAddService(event.services[index]);
     subrequest.givenUp = isOverloaded(services[subrequest.service], event, state);
-    crowded += subrequest.givenUp ? 1 : 0;
+    overloadedCount += subrequest.givenUp ? 1 : 0;
   }
-  if (state.subrequests.size() - crowded < event.minimum) {
+  if (state.subrequests.size() - overloadedCount < event.minimum) {
     refuse(event, FinishReason::overloaded);
     for (Subrequest const& subrequest : state.subrequests) {
       releaseIfUnused(subrequest.service);
@@ -183,55 +186,56 @@
   for (std::uint32_t index = 0; index < request.subrequests.size(); ++index) {
     Subrequest& subrequest = request.subrequests[index];
     ServiceState& service = services[subrequest.service];
-    ++service.subrequests;
-    subrequest.tenant = &tenantOf(service, event.tenant);
-    ++subrequest.tenant->subrequests;
+    ++service.subrequestCount;
+    subrequest.tenant = &findOrAddTenant(service, event.tenant);
+    ++subrequest.tenant->subrequestCount;
     if (!subrequest.givenUp) {
       enqueue(request, index);
     }
   }
-  review.push_back(event.request);
+  requestsToReview.push_back(event.request);
 }
 
 Ms Dispatcher::Impl::retryAfter(ServiceState const& service) const {
-  double const roomMs = service.latencies.typicalMs() + expectedWaitMs(service, service.waitingCount);
-  return std::clamp(Ms(static_cast<long>(std::min(roomMs, 1e6))), options.backoff.minMs, options.backoff.maxMs);
+  double const expectedMs = service.latencies.medianMs() + expectedWaitMs(service, service.waitingCount);
+  return std::clamp(Ms(static_cast<long>(std::min(expectedMs, 1e6))), options.backoff.minMs, options.backoff.maxMs);
 }
 
-void Dispatcher::Impl::closeAttempt(RequestState& request, std::uint32_t index, retry::Attempt const& attempt,
-                                    bool lost) {
+void Dispatcher::Impl::cancelAttempt(RequestState& request, std::uint32_t index, retry::Attempt const& attempt,
+                                     bool superseded) {
   Subrequest& subrequest = request.subrequests[index];
   ServiceState& service = services[subrequest.service];
   if (ServerState* const server = findServer(service, attempt.server)) {
-    std::vector<TimePoint>::iterator const kept = std::find(server->open.begin(), server->open.end(), attempt.began);
-    if (kept != server->open.end()) {
-      server->open.erase(kept);
+    std::vector<TimePoint>::iterator const openAt =
+        std::find(server->openAttempts.begin(), server->openAttempts.end(), attempt.began);
+    if (openAt != server->openAttempts.end()) {
+      server->openAttempts.erase(openAt);
     }
     subrequest.tenant->abandonedUntil.push_back(
         now + std::min<TimePoint::duration>(options.ejection.abandonedMaxMs, now - attempt.began));
-    if (!lost) {
+    if (!superseded) {
       shrinkWindow(service, *subrequest.tenant, millis(now - attempt.began));
     }
-    recordUnanswered(service, *server, attempt.began, lost);
+    recordUnanswered(service, *server, attempt.began, superseded);
   }
-  counters.supersededAttempts += lost ? 1 : 0;
+  counters.supersededAttempts += superseded ? 1 : 0;
   subrequest.tenant->inFlight -= subrequest.tenant->inFlight > 0 ? 1 : 0;
   attempts.erase(attempt.id);
   subrequest.attemptLog.cancel(attempt.id);
   effects.emplace_back(CancelAttempt{attempt.id});
 }
 
-void Dispatcher::Impl::closeOthers(RequestState& request, std::uint32_t index) {
+void Dispatcher::Impl::cancelOpenAttempts(RequestState& request, std::uint32_t index) {
   Subrequest& subrequest = request.subrequests[index];
   subrequest.straggling = false;
   if (!subrequest.attemptLog.hasOpen()) {
     return;
   }
-  bool const lost = subrequest.attemptLog.isComplete();
+  bool const superseded = subrequest.attemptLog.isComplete();
   for (std::size_t at = 0; at < subrequest.attemptLog.attempts().size(); ++at) {
     retry::Attempt const attempt = subrequest.attemptLog.attempts()[at];
     if (attempt.state == retry::AttemptState::assigned) {
-      closeAttempt(request, index, attempt, lost);
+      cancelAttempt(request, index, attempt, superseded);
     }
   }
   markDirty(subrequest.service);
@@ -256,16 +260,17 @@
     growWindow(service, *subrequest.tenant, request, latencyMs);
   }
   if (ServerState* const server = findServer(service, attempt.server)) {
-    std::vector<TimePoint>::iterator const kept = std::find(server->open.begin(), server->open.end(), attempt.began);
-    if (kept != server->open.end()) {
-      server->open.erase(kept);
+    std::vector<TimePoint>::iterator const openAt =
+        std::find(server->openAttempts.begin(), server->openAttempts.end(), attempt.began);
+    if (openAt != server->openAttempts.end()) {
+      server->openAttempts.erase(openAt);
     }
     recordAnswer(service, *server, event, latencyMs, request.kind);
   }
   if (event.good) {
     subrequest.attemptLog.complete(event.attempt);
     effects.emplace_back(AcceptShardResult{event.attempt, key.request, key.shard});
-    closeOthers(request, key.shard);
+    cancelOpenAttempts(request, key.shard);
   } else {
     subrequest.attemptLog.fail(event.attempt, event.verdict,
                                event.verdict != retry::Verdict::notRun || event.overCapacity || event.staleIncarnation);
@@ -282,35 +287,35 @@
     }
   }
   markDirty(subrequest.service);
-  review.push_back(key.request);
+  requestsToReview.push_back(key.request);
 }
 
 void Dispatcher::Impl::reviewRequest(RequestState& request) {
   std::size_t done = 0;
   std::size_t pending = 0;
-  bool const offerDue = now >= request.offerBy;
-  bool unoffered = false;
+  bool const assignDue = now >= request.assignBy;
+  bool anyNeverAssigned = false;
   for (std::uint32_t index = 0; index < request.subrequests.size(); ++index) {
     Subrequest& subrequest = request.subrequests[index];
-    bool const never = subrequest.waiting && subrequest.attemptLog.attempts().empty();
+    bool const neverAssigned = subrequest.waiting && subrequest.attemptLog.attempts().empty();
     if (subrequest.waiting &&
         (!hasCandidate(services[subrequest.service], subrequest.attemptLog) ||
-         (never && offerDue && !request.latencyTargetPassed && wouldMissLatencyTarget(request, index)))) {
-      dropWaiting(request, index);
+         (neverAssigned && assignDue && !request.latencyTargetPassed && wouldMissLatencyTarget(request, index)))) {
+      dequeue(request, index);
       subrequest.givenUp = true;
     }
-    unoffered = unoffered || (never && subrequest.waiting);
+    anyNeverAssigned = anyNeverAssigned || (neverAssigned && subrequest.waiting);
     if (subrequest.attemptLog.isComplete()) {
       ++done;
     } else if (!subrequest.givenUp) {
       ++pending;
     }
   }
-  bool const enough = done >= request.minimum;
+  bool const minimumReached = done >= request.minimum;
   if (pending == 0) {
     finish(request,
-           enough ? (done == request.subrequests.size() ? RequestOutcome::complete : RequestOutcome::partial)
-                  : RequestOutcome::failed,
+           minimumReached ? (done == request.subrequests.size() ? RequestOutcome::complete : RequestOutcome::partial)
+                          : RequestOutcome::failed,
            FinishReason::noServerLeft);
     return;
   }
@@ -319,27 +324,28 @@
     return;
   }
   if (now >= request.answerBy) {
-    finish(request, enough ? RequestOutcome::partial : RequestOutcome::failed, FinishReason::deadlineReached);
+    finish(request, minimumReached ? RequestOutcome::partial : RequestOutcome::failed, FinishReason::deadlineReached);
     return;
   }
   if (request.latencyTargetAt && !request.latencyTargetPassed && now >= *request.latencyTargetAt) {
     request.latencyTargetPassed = true;
-    double const ready = static_cast<double>(done);
-    double const possible = static_cast<double>(done + pending);
-    if (enough && ready * ready >= options.latencyTarget.partialShare * possible * possible) {
+    double const answeredShards = static_cast<double>(done);
+    double const reachableShards = static_cast<double>(done + pending);
+    if (minimumReached &&
+        answeredShards * answeredShards >= options.latencyTarget.partialShare * reachableShards * reachableShards) {
       finish(request, RequestOutcome::partial, FinishReason::latencyTargetReached);
       return;
     }
   }
-  if (offerDue) {
-    request.offerBy = TimePoint::max();
+  if (assignDue) {
+    request.assignBy = TimePoint::max();
   }
   TimePoint due = request.answerBy;
   if (request.latencyTargetAt && !request.latencyTargetPassed) {
     due = std::min(due, *request.latencyTargetAt);
   }
-  if (unoffered) {
-    due = std::min(due, request.offerBy);
+  if (anyNeverAssigned) {
+    due = std::min(due, request.assignBy);
   }
   for (std::uint32_t index = 0; options.hedging.enabled && request.idempotent && index < request.subrequests.size();
        ++index) {
@@ -369,31 +375,31 @@
 void Dispatcher::Impl::finish(RequestState& request, RequestOutcome outcome, FinishReason reason) {
   FinishRequest out;
   out.request = request.id;
-  bool touched = false;
+  bool mayHaveRun = false;
   for (std::uint32_t index = 0; index < request.subrequests.size(); ++index) {
     Subrequest& subrequest = request.subrequests[index];
-    dropWaiting(request, index);
-    touched = touched || subrequest.attemptLog.mayHaveRun();
+    dequeue(request, index);
+    mayHaveRun = mayHaveRun || subrequest.attemptLog.mayHaveRun();
     if (!subrequest.attemptLog.isComplete()) {
       out.missing.push_back(index);
     }
-    closeOthers(request, index);
+    cancelOpenAttempts(request, index);
   }
   counters.missingShards += out.missing.size();
   bool const answered = outcome == RequestOutcome::complete || outcome == RequestOutcome::partial;
-  out.outcome = answered ? outcome : touched ? RequestOutcome::failed : RequestOutcome::refused;
-  out.verdict = answered ? retry::Verdict::ran : touched ? retry::Verdict::mayHaveRun : retry::Verdict::notRun;
+  out.outcome = answered ? outcome : mayHaveRun ? RequestOutcome::failed : RequestOutcome::refused;
+  out.verdict = answered ? retry::Verdict::ran : mayHaveRun ? retry::Verdict::mayHaveRun : retry::Verdict::notRun;
   if (!answered) {
     out.reason = reason;
     out.retryAfter = retryAfter(services[request.subrequests.front().service]);
   }
   effects.emplace_back(std::move(out));
   for (Subrequest const& subrequest : request.subrequests) {
-    --subrequest.tenant->subrequests;
-    --services[subrequest.service].subrequests;
+    --subrequest.tenant->subrequestCount;
+    --services[subrequest.service].subrequestCount;
     releaseIfUnused(subrequest.service);
   }
-  requestTimers.drop(request);
+  requestTimers.remove(request);
   requests.erase(request.id);
 }
 
@@ -406,14 +412,14 @@
   std::size_t reviewed = 0;
   std::size_t dispatched = 0;
   while (true) {
-    if (reviewed < review.size()) {
-      if (RequestState* const request = find(review[reviewed++])) {
+    if (reviewed < requestsToReview.size()) {
+      if (RequestState* const request = findRequest(requestsToReview[reviewed++])) {
         reviewRequest(*request);
       }
     } else if (RequestState* const due = requestTimers.firstDue(now)) {
       reviewRequest(*due);
-    } else if (dispatched < dirty.size()) {
-      std::uint32_t const index = dirty[dispatched++];
+    } else if (dispatched < dirtyServices.size()) {
+      std::uint32_t const index = dirtyServices[dispatched++];
       if (services[index].dirty) {
         services[index].dirty = false;
         dispatch(index);
@@ -422,8 +428,8 @@
       break;
     }
   }
-  review.clear();
-  dirty.clear();
+  requestsToReview.clear();
+  dirtyServices.clear();
 }
 
 Dispatcher::Dispatcher(DispatchOptions const& options) : impl_(std::make_unique<Impl>(options)) {}
@@ -456,9 +462,9 @@
   std::vector<ServerStatus> out;
   for (ServiceState const& service : impl_->services) {
     for (ServerState const& server : service.servers) {
-      out.push_back({service.name, server.row.address, server.row.zone, server.open.size(), server.latencyMs,
-                     server.ejectedUntil.has_value(), server.row.draining, impl_->slowStartFactor(server) < 1,
-                     server.load});
+      out.push_back({service.name, server.endpoint.address, server.endpoint.zone, server.openAttempts.size(),
+                     server.latencyMs, server.ejectedUntil.has_value(), server.endpoint.draining,
+                     impl_->slowStartFactor(server) < 1, server.load});
     }
   }
   std::sort(out.begin(), out.end(), [](ServerStatus const& left, ServerStatus const& right) {
--- a/libs/dispatch/src/dispatcher_impl.h
+++ b/libs/dispatch/src/dispatcher_impl.h
@@ -12,118 +12,146 @@
 namespace limeramp::dispatch {
 
 using Ms = std::chrono::milliseconds;
-using FineMs = std::chrono::duration<double, std::milli>;
+using FractionalMs = std::chrono::duration<double, std::milli>;
 
-inline double millis(TimePoint::duration length) { return FineMs(length).count(); }
-inline TimePoint::duration fine(double lengthMs) {
-  return std::chrono::duration_cast<TimePoint::duration>(FineMs(lengthMs));
+inline double millis(TimePoint::duration length) { return FractionalMs(length).count(); }
+inline TimePoint::duration toDuration(double lengthMs) {
+  return std::chrono::duration_cast<TimePoint::duration>(FractionalMs(lengthMs));
 }
 
 constexpr std::size_t priorityCount = 16;
+/// Kinds of a service with latencies of their own; further kinds use the latencies of the service.
 constexpr std::size_t maxKinds = 8;
 
+/// A subrequest by its request and shard index.
 struct SubrequestKey {
   std::uint64_t request = 0;
   std::uint32_t shard = 0;
   std::strong_ordering operator<=>(SubrequestKey const&) const = default;
 };
 
-struct Waiting {
+/// A waiting subrequest. Entries sort by priority and then by the order in which subrequests were first queued.
+struct QueueEntry {
   std::size_t priority = 0;
   std::uint64_t order = 0;
   SubrequestKey key;
-  std::strong_ordering operator<=>(Waiting const&) const = default;
+  std::strong_ordering operator<=>(QueueEntry const&) const = default;
 };
 
+/// Median and tail quantile of the most recent latencies.
 class LatencyWindow {
  public:
   void add(double latencyMs, double quantile);
-  bool known() const { return !window_.empty(); }
-  double typicalMs() const { return typicalMs_; }
+  bool hasSamples() const { return !window_.empty(); }
+  double medianMs() const { return medianMs_; }
   double tailMs() const { return tailMs_; }
 
  private:
   std::vector<float> window_;
   std::vector<float> sorted_;
   std::size_t next_ = 0;
-  double typicalMs_ = 0;
+  double medianMs_ = 0;
   double tailMs_ = 0;
 };
 
+/// What the dispatcher knows about one incarnation of a server.
 struct ServerState {
+  /// Unique among all servers of the dispatcher; 0 once the state was moved to a new list.
   std::uint64_t id = 0;
-  ServerEndpoint row;
+  ServerEndpoint endpoint;
+  /// Begin of the slow start; after an outage it begins again at `recoveredAt`.
   TimePoint startedAt;
-  TimePoint backAt{};
-  std::vector<TimePoint> open;
+  TimePoint recoveredAt{};
+  /// Begin of each open attempt, oldest first.
+  std::vector<TimePoint> openAttempts;
   std::deque<TimePoint> abandonedUntil;
-  TimePoint answeredAt{};
+  TimePoint lastAnswerAt{};
+  /// Moving average; `scoreOf` lets it decay towards the median of the service.
   double latencyMs = 0;
-  TimePoint latencyAt;
-  std::size_t failures = 0;
+  TimePoint latencyUpdatedAt;
+  /// Failed attempts since the last healthy or over-capacity answer.
+  std::size_t consecutiveFailures = 0;
   TimePoint firstFailureAt;
+  /// Moving average of bad answers, 0 to 1, which decays over time.
   double errorScore = 0;
   TimePoint errorScoreAt{};
-  std::size_t unanswered = 0;
+  /// Cancelled attempts since the last healthy or over-capacity answer.
+  std::size_t consecutiveUnanswered = 0;
   TimePoint firstUnansweredAt;
+  /// No attempts before this time. Stays set until a healthy or over-capacity answer, see isHalfOpen.
   std::optional<TimePoint> unresponsiveUntil;
   Ms unresponsiveMs{0};
+  /// No attempts but half-open probes before this time. Stays set until the server is readmitted.
   std::optional<TimePoint> ejectedUntil;
   bool lastAttemptUnreached = false;
   Ms ejectionMs{0};
-  TimePoint halfOpenProbeAt{};
+  TimePoint lastHalfOpenProbeAt{};
   bool unreachedSinceHealthy = false;
+  /// Token bucket of the slow start; holds at most one token.
   double tokens = 0;
-  TimePoint tokensAt;
+  TimePoint tokensRefilledAt;
   double load = 0;
-  TimePoint loadAt{};
+  TimePoint loadReportedAt{};
   TimePoint overCapacityUntil{};
-  double limit = 0;
+  double concurrencyLimit = 0;
+  /// Another incarnation answered at the address: no attempts until the list shows it.
   bool staleIncarnation = false;
   TimePoint warmupUntil{};
-  TimePoint warmupSentAt{};
+  TimePoint lastWarmupAttemptAt{};
 };
 
+/// A tenant's queue and window of attempts in flight at one service.
 struct TenantState {
   std::string name;
   double window = 0;
   std::size_t inFlight = 0;
-  std::size_t subrequests = 0;
+  std::size_t subrequestCount = 0;
   std::deque<TimePoint> abandonedUntil;
-  TimePoint shrunkAt{};
-  TimePoint seenAt{};
+  TimePoint lastShrunkAt{};
+  TimePoint lastEnqueuedAt{};
+  /// The window has shrunk and grows slowly until it is back at its default.
   bool shrunk = false;
-  std::set<Waiting> waiting;
+  std::set<QueueEntry> waiting;
 };
 
+/// The servers of one shard, and the tenants that use them.
 struct ServiceState {
   std::string name;
   std::vector<ServerState> servers;
   std::unordered_map<std::string, TenantState> tenants;
+  /// Tenants with waiting subrequests, the next one first.
   std::deque<TenantState*> tenantRoundRobin;
   std::size_t waitingCount = 0;
-  std::array<std::size_t, priorityCount> waitingBy{};
+  std::array<std::size_t, priorityCount> waitingByPriority{};
+  /// Lowest latency seen, see TenantWindowOptions::baselineDrift.
   double baselineLatencyMs = 0;
   LatencyWindow latencies;
-  std::vector<std::pair<std::size_t, LatencyWindow>> kinds;
+  std::vector<std::pair<std::size_t, LatencyWindow>> latenciesByKind;
   retry::RetryBudget budget;
   std::vector<SubrequestKey> stragglers;
-  std::size_t subrequests = 0;
+  std::size_t subrequestCount = 0;
+  /// When the service is dispatched again without another event.
   TimePoint wakeAt = TimePoint::max();
+  /// Listed in Impl::dirtyServices.
   bool dirty = false;
 };
 
+/// One shard's part of a request.
 struct Subrequest {
   std::uint32_t service = 0;
   retry::AttemptLog attemptLog;
   TenantState* tenant = nullptr;
+  /// Place in the tenant's queue, kept by retries; 0 before the subrequest is first queued.
   std::uint64_t order = 0;
   bool waiting = false;
+  /// No further attempt will be made.
   bool givenUp = false;
+  /// Listed in ServiceState::stragglers and waiting to be hedged.
   bool straggling = false;
   bool budgetExhaustionLogged = false;
 };
 
+/// An open request.
 struct RequestState {
   std::uint64_t id = 0;
   std::size_t minimum = 1;
@@ -133,23 +161,30 @@
   std::size_t kind = 0;
   TimePoint arrivedAt;
   TimePoint deadline;
+  /// The deadline less the margin.
   TimePoint answerBy;
   std::optional<TimePoint> latencyTargetAt;
-  TimePoint offerBy{};
+  /// See LatencyTargetOptions::assignShare; TimePoint::max() once it was decided on.
+  TimePoint assignBy{};
   bool latencyTargetPassed = false;
   std::vector<Subrequest> subrequests;
-  std::size_t heapAt = 0;
+  /// Index in the heap of RequestTimers plus one; 0 while no timer is set.
+  std::size_t heapPosition = 0;
 };
 
+/// Which servers a shard has, leaving out draining ones, stale incarnations and servers of last resort.
 struct ShardAvailability {
+  /// A server is not ejected.
   bool hasWarmServer = false;
+  /// A server is neither ejected, unresponsive nor half-open.
   bool hasServingServer = false;
 };
 
+/// Binary min-heap with the next review time of each request.
 class RequestTimers {
  public:
   void set(RequestState& request, TimePoint at);
-  void drop(RequestState& request);
+  void remove(RequestState& request);
   std::optional<TimePoint> first() const;
   RequestState* firstDue(TimePoint now) const;
 
@@ -158,9 +193,9 @@
     TimePoint at;
     RequestState* request = nullptr;
   };
-  void put(std::size_t position, Entry const& entry);
-  void rise(std::size_t position);
-  void sink(std::size_t position);
+  void place(std::size_t position, Entry const& entry);
+  void siftUp(std::size_t position);
+  void siftDown(std::size_t position);
 
   std::vector<Entry> heap_;
 };
@@ -178,11 +213,12 @@
   std::unordered_map<std::uint64_t, RequestState> requests;
   std::unordered_map<std::uint64_t, SubrequestKey> attempts;
   RequestTimers requestTimers;
-  std::vector<std::uint32_t> dirty;
-  std::vector<std::uint64_t> review;
-  std::uint64_t lastAttempt = 0;
-  std::uint64_t lastServer = 0;
-  std::uint64_t lastOrder = 0;
+  /// Services to dispatch and requests to review before the current step ends.
+  std::vector<std::uint32_t> dirtyServices;
+  std::vector<std::uint64_t> requestsToReview;
+  std::uint64_t lastAttemptId = 0;
+  std::uint64_t lastServerId = 0;
+  std::uint64_t lastQueueOrder = 0;
   Counters counters;
   std::vector<DispatchEffect> effects;
   TimePoint now;
@@ -194,11 +230,12 @@
   void on(Tick const&) {}
   void processPending();
 
-  std::uint32_t serviceOf(std::string const& name);
+  /// Entries of `services` stay in place and are reused, so that their indexes stay valid.
+  std::uint32_t findOrAddService(std::string const& name);
   void releaseIfUnused(std::uint32_t index);
   void markDirty(std::uint32_t index);
   Subrequest& subrequestOf(SubrequestKey const& key) { return requests.at(key.request).subrequests[key.shard]; }
-  RequestState* find(std::uint64_t request);
+  RequestState* findRequest(std::uint64_t request);
   ServerState* findServer(ServiceState& service, std::uint64_t id);
   LatencyWindow const& latenciesOf(ServiceState const& service, std::size_t kind) const;
 
@@ -207,44 +244,61 @@
   void refill(ServerState& server) const;
   bool isEjected(ServerState const& server) const { return server.ejectedUntil && now < *server.ejectedUntil; }
   bool isWarmingUp(ServerState const& server) const { return now < server.warmupUntil; }
-  bool isLastResort(ServerState const& server) const { return isWarmingUp(server) && server.row.warmupPerSecond <= 0; }
+  /// Warming up and unable to serve yet: used only if no other server is available.
+  bool isLastResort(ServerState const& server) const {
+    return isWarmingUp(server) && server.endpoint.warmupPerSecond <= 0;
+  }
+  /// Attempts that this gateway may send to a server that is warming up, within one `warmupWindowMs`.
   std::size_t warmupAllowance(ServerState const& server) const;
   Ms warmupInterval(ServerState const& server) const;
   ShardAvailability availabilityOf(ServiceState const& service) const;
-  bool mayTake(ServerState const& server, ShardAvailability const& view) const;
+  /// May get an attempt at all; isIdle tells whether it may get one now.
+  bool isEligible(ServerState const& server, ShardAvailability const& availability) const;
+  /// Ejected or unresponsive, and not answered healthily since.
   bool isHalfOpen(ServerState const& server) const { return server.ejectedUntil || server.unresponsiveUntil; }
   double unresponsiveAfterMs(ServiceState const& service) const;
   bool isUnresponsive(ServiceState const& service, ServerState const& server) const;
-  bool isIdle(ServiceState const& service, ServerState& server, std::size_t spare, ShardAvailability const& view) const;
+  /// Has room for an attempt now. `extraSlots` are added to the limit, and abandoned attempts are then not counted.
+  bool isIdle(ServiceState const& service, ServerState& server, std::size_t extraSlots,
+              ShardAvailability const& availability) const;
   bool hasCandidate(ServiceState const& service, retry::AttemptLog const& attemptLog) const;
-  bool hasReady(ServiceState const& service) const;
+  bool hasReadyServer(ServiceState const& service) const;
   ServerState* chooseIdle(ServiceState& service, retry::AttemptLog const& attemptLog, bool idempotent,
-                          std::size_t spare);
+                          std::size_t extraSlots);
+  /// Lower is better.
   double scoreOf(ServiceState const& service, ServerState const& server, bool idempotent) const;
+  /// The earliest future time at which a timer of the server may make it idle.
   TimePoint nextIdleAt(ServerState const& server) const;
   void recordAnswer(ServiceState& service, ServerState& server, AttemptFinished const& event, double latencyMs,
                     std::size_t kind);
-  void recordUnanswered(ServiceState& service, ServerState& server, TimePoint began, bool lost);
+  /// Records a cancelled attempt. `superseded`: another attempt answered first.
+  void recordUnanswered(ServiceState& service, ServerState& server, TimePoint began, bool superseded);
   void eject(ServiceState const& service, ServerState& server);
+  /// Whether enough other servers serve the shard: at least one and half of those that are not leaving.
   bool mayEject(ServiceState const& service, ServerState const& server) const;
 
   void enqueue(RequestState& request, std::uint32_t shard);
-  void dropWaiting(RequestState& request, std::uint32_t shard);
+  void dequeue(RequestState& request, std::uint32_t shard);
   bool isOverloaded(ServiceState& service, RequestArrived const& event, RequestState const& request);
-  bool preempt(ServiceState& service, TenantState const* only, std::size_t priority);
-  double expectedWaitMs(ServiceState const& service, std::size_t before) const;
+  /// Gives up the last waiting subrequest of lower priority, of `onlyTenant` if set. False if there is none.
+  bool preempt(ServiceState& service, TenantState const* onlyTenant, std::size_t priority);
+  double expectedWaitMs(ServiceState const& service, std::size_t queuedAhead) const;
   bool wouldMissLatencyTarget(RequestState const& request, std::uint32_t shard) const;
+  /// Hands waiting subrequests to idle servers, tenant by tenant; hedges stragglers once none waits.
   void dispatch(std::uint32_t index);
   void hedge(ServiceState& service);
+  /// When the subrequest's latest attempt becomes a straggler.
   TimePoint hedgeAt(RequestState const& request, Subrequest const& subrequest) const;
   void assign(ServiceState& service, RequestState& request, std::uint32_t shard, ServerState& server, bool hedged);
-  TenantState& tenantOf(ServiceState& service, std::string const& tenant);
+  TenantState& findOrAddTenant(ServiceState& service, std::string const& tenant);
   void leaveTenant(ServiceState& service, TenantState& tenant);
   void growWindow(ServiceState& service, TenantState& tenant, RequestState const& request, double latencyMs);
   void shrinkWindow(ServiceState& service, TenantState& tenant, double latencyMs);
 
-  void closeOthers(RequestState& request, std::uint32_t shard);
-  void closeAttempt(RequestState& request, std::uint32_t shard, retry::Attempt const& attempt, bool lost);
+  /// Cancels the open attempts of a subrequest that is complete or whose request is finished.
+  void cancelOpenAttempts(RequestState& request, std::uint32_t shard);
+  void cancelAttempt(RequestState& request, std::uint32_t shard, retry::Attempt const& attempt, bool superseded);
+  /// Finishes the request if its outcome is decided; otherwise finds stragglers and sets the next timer.
   void reviewRequest(RequestState& request);
   void finish(RequestState& request, RequestOutcome outcome, FinishReason reason);
   void refuse(RequestArrived const& event, FinishReason reason);
--- a/libs/dispatch/src/request_timers.cpp
+++ b/libs/dispatch/src/request_timers.cpp
@@ -2,21 +2,21 @@
 
 namespace limeramp::dispatch {
 
-void RequestTimers::put(std::size_t position, Entry const& entry) {
+void RequestTimers::place(std::size_t position, Entry const& entry) {
   heap_[position] = entry;
-  entry.request->heapAt = position + 1;
+  entry.request->heapPosition = position + 1;
 }
 
-void RequestTimers::rise(std::size_t position) {
+void RequestTimers::siftUp(std::size_t position) {
   Entry const entry = heap_[position];
   while (position > 0 && entry.at < heap_[(position - 1) / 2].at) {
-    put(position, heap_[(position - 1) / 2]);
+    place(position, heap_[(position - 1) / 2]);
     position = (position - 1) / 2;
   }
-  put(position, entry);
+  place(position, entry);
 }
 
-void RequestTimers::sink(std::size_t position) {
+void RequestTimers::siftDown(std::size_t position) {
   Entry const entry = heap_[position];
   while (true) {
     std::size_t child = position * 2 + 1;
@@ -29,36 +29,36 @@
     if (heap_[child].at >= entry.at) {
       break;
     }
-    put(position, heap_[child]);
+    place(position, heap_[child]);
     position = child;
   }
-  put(position, entry);
+  place(position, entry);
 }
 
 void RequestTimers::set(RequestState& request, TimePoint at) {
-  if (request.heapAt == 0) {
+  if (request.heapPosition == 0) {
     heap_.push_back({at, &request});
-    rise(heap_.size() - 1);
+    siftUp(heap_.size() - 1);
     return;
   }
-  std::size_t const position = request.heapAt - 1;
+  std::size_t const position = request.heapPosition - 1;
   bool const sooner = at < heap_[position].at;
   heap_[position].at = at;
-  sooner ? rise(position) : sink(position);
+  sooner ? siftUp(position) : siftDown(position);
 }
 
-void RequestTimers::drop(RequestState& request) {
-  if (request.heapAt == 0) {
+void RequestTimers::remove(RequestState& request) {
+  if (request.heapPosition == 0) {
     return;
   }
-  std::size_t const position = request.heapAt - 1;
-  request.heapAt = 0;
+  std::size_t const position = request.heapPosition - 1;
+  request.heapPosition = 0;
   Entry const last = heap_.back();
   heap_.pop_back();
   if (position < heap_.size()) {
-    put(position, last);
-    rise(position);
-    sink(last.request->heapAt - 1);
+    place(position, last);
+    siftUp(position);
+    siftDown(last.request->heapPosition - 1);
   }
 }
 
--- a/libs/dispatch/src/shard_result.cpp
+++ b/libs/dispatch/src/shard_result.cpp
@@ -10,7 +10,7 @@
 namespace limeramp::dispatch {
 namespace {
 
-absl::StatusOr<std::string> field(picojson::object const& fields, std::string const& key) {
+absl::StatusOr<std::string> stringField(picojson::object const& fields, std::string const& key) {
   picojson::object::const_iterator const found = fields.find(key);
   if (found == fields.end() || !found->second.is<std::string>()) {
     return absl::InvalidArgumentError("stamp without " + key);
@@ -18,7 +18,7 @@
   return found->second.get<std::string>();
 }
 
-struct ReadJob {
+struct ParseJob {
   std::string body;
   ShardStamp expected;
   std::size_t resultSize = 0;
@@ -26,7 +26,7 @@
 };
 
 struct MergeJob {
-  std::vector<ShardResultPtr> parts;
+  std::vector<ShardResultPtr> results;
   std::size_t resultSize = 0;
   std::function<void(std::vector<std::string>)> done;
 };
@@ -51,38 +51,38 @@
   if (records == fields.end() || !records->second.is<picojson::array>()) {
     return absl::InvalidArgumentError("part without records");
   }
-  ShardResult part;
+  ShardResult result;
   picojson::object const& stampFields = stamp->second.get<picojson::object>();
-  for (std::pair<std::string, std::string*> const& want :
-       {std::pair<std::string, std::string*>("shard", &part.stamp.shard),
-        std::pair<std::string, std::string*>("cut", &part.stamp.partition),
-        std::pair<std::string, std::string*>("request", &part.stamp.request)}) {
-    absl::StatusOr<std::string> value = field(stampFields, want.first);
+  for (std::pair<std::string, std::string*> const& target :
+       {std::pair<std::string, std::string*>("shard", &result.stamp.shard),
+        std::pair<std::string, std::string*>("cut", &result.stamp.partition),
+        std::pair<std::string, std::string*>("request", &result.stamp.request)}) {
+    absl::StatusOr<std::string> value = stringField(stampFields, target.first);
     if (!value.ok()) {
       return value.status();
     }
-    *want.second = *std::move(value);
+    *target.second = *std::move(value);
   }
-  if (!(part.stamp == expected)) {
+  if (!(result.stamp == expected)) {
     return absl::InvalidArgumentError("stamp of another part");
   }
   for (picojson::value& record : records->second.get<picojson::array>()) {
     if (!record.is<std::string>()) {
       return absl::InvalidArgumentError("record is not a string");
     }
-    part.records.push_back(std::move(record.get<std::string>()));
+    result.records.push_back(std::move(record.get<std::string>()));
   }
-  std::size_t const kept = std::min(resultSize, part.records.size());
-  std::partial_sort(part.records.begin(), part.records.begin() + static_cast<long>(kept), part.records.end(),
+  std::size_t const kept = std::min(resultSize, result.records.size());
+  std::partial_sort(result.records.begin(), result.records.begin() + static_cast<long>(kept), result.records.end(),
                     std::greater<std::string>());
-  part.records.resize(kept);
-  return part;
+  result.records.resize(kept);
+  return result;
 }
 
-std::vector<std::string> mergeShardResults(std::vector<ShardResultPtr> const& parts, std::size_t resultSize) {
+std::vector<std::string> mergeShardResults(std::vector<ShardResultPtr> const& results, std::size_t resultSize) {
   std::vector<std::string const*> all;
-  for (ShardResultPtr const& part : parts) {
-    for (std::string const& record : part->records) {
+  for (ShardResultPtr const& result : results) {
+    for (std::string const& record : result->records) {
       all.push_back(&record);
     }
   }
@@ -101,13 +101,13 @@
   explicit Impl(std::size_t threads)
       : arena(static_cast<int>(threads), 0),
         graph(makeGraph()),
-        reader(*graph, tbb::flow::unlimited,
-               [](ReadJob const& job) {
+        parser(*graph, tbb::flow::unlimited,
+               [](ParseJob const& job) {
                  job.done(parseShardResult(job.body, job.expected, job.resultSize));
                  return tbb::flow::continue_msg();
                }),
         merger(*graph, tbb::flow::unlimited, [](MergeJob const& job) {
-          job.done(mergeShardResults(job.parts, job.resultSize));
+          job.done(mergeShardResults(job.results, job.resultSize));
           return tbb::flow::continue_msg();
         }) {}
 
@@ -119,7 +119,7 @@
 
   tbb::task_arena arena;
   std::unique_ptr<tbb::flow::graph> graph;
-  tbb::flow::function_node<ReadJob> reader;
+  tbb::flow::function_node<ParseJob> parser;
   tbb::flow::function_node<MergeJob> merger;
 };
 
@@ -137,16 +137,16 @@
     done(parseShardResult(body, expected, resultSize));
     return;
   }
-  impl_->reader.try_put({std::move(body), std::move(expected), resultSize, std::move(done)});
+  impl_->parser.try_put({std::move(body), std::move(expected), resultSize, std::move(done)});
 }
 
-void MergeWorkers::merge(std::vector<ShardResultPtr> parts, std::size_t resultSize,
+void MergeWorkers::merge(std::vector<ShardResultPtr> results, std::size_t resultSize,
                          std::function<void(std::vector<std::string>)> done) {
   if (impl_ == nullptr) {
-    done(mergeShardResults(parts, resultSize));
+    done(mergeShardResults(results, resultSize));
     return;
   }
-  impl_->merger.try_put({std::move(parts), resultSize, std::move(done)});
+  impl_->merger.try_put({std::move(results), resultSize, std::move(done)});
 }
 
 }  // namespace limeramp::dispatch
