--- a/libs/dispatch/src/dispatcher_impl.h
+++ b/libs/dispatch/src/dispatcher_impl.h
@@ -164,7 +164,7 @@
   /// The deadline less the margin.
   TimePoint answerBy;
   std::optional<TimePoint> latencyTargetAt;
-  /// See LatencyTargetOptions::assignShare; TimePoint::max() once it was decided on.
+  /// See LatencyTargetOptions::assignShare; TimePoint::max() without a target or once the time has passed.
   TimePoint assignBy{};
   bool latencyTargetPassed = false;
   std::vector<Subrequest> subrequests;
@@ -200,20 +200,25 @@
   std::vector<Entry> heap_;
 };
 
+/// State of the dispatcher. `now` and `effects` belong to the current step.
 struct Dispatcher::Impl {
   explicit Impl(DispatchOptions const& optionsIn) : options(optionsIn) {}
 
   DispatchOptions options;
   FleetPosition position;
+  /// Positions of the last `positionStableMs` and the one before them, oldest first.
   std::deque<std::pair<TimePoint, FleetPosition>> recentPositions;
+  /// Servers that are warming up get nothing until `positionStableMs` after this time.
   TimePoint firstPositionAt{};
   std::deque<ServiceState> services;
   std::unordered_map<std::string, std::uint32_t> serviceIndex;
+  /// Indexes of `services` that are free for reuse.
   std::vector<std::uint32_t> freeServices;
   std::unordered_map<std::uint64_t, RequestState> requests;
+  /// Open attempts by id.
   std::unordered_map<std::uint64_t, SubrequestKey> attempts;
   RequestTimers requestTimers;
-  /// Services to dispatch and requests to review before the current step ends.
+  /// Services to dispatch and requests to review before the current step ends; see processPending.
   std::vector<std::uint32_t> dirtyServices;
   std::vector<std::uint64_t> requestsToReview;
   std::uint64_t lastAttemptId = 0;
@@ -254,7 +259,7 @@
   ShardAvailability availabilityOf(ServiceState const& service) const;
   /// May get an attempt at all; isIdle tells whether it may get one now.
   bool isEligible(ServerState const& server, ShardAvailability const& availability) const;
-  /// Ejected or unresponsive, and not answered healthily since.
+  /// Was ejected or unresponsive, and has given no healthy or over-capacity answer since.
   bool isHalfOpen(ServerState const& server) const { return server.ejectedUntil || server.unresponsiveUntil; }
   double unresponsiveAfterMs(ServiceState const& service) const;
   bool isUnresponsive(ServiceState const& service, ServerState const& server) const;
@@ -282,6 +287,7 @@
   bool isOverloaded(ServiceState& service, RequestArrived const& event, RequestState const& request);
   /// Gives up the last waiting subrequest of lower priority, of `onlyTenant` if set. False if there is none.
   bool preempt(ServiceState& service, TenantState const* onlyTenant, std::size_t priority);
+  /// Time until `queuedAhead` subrequests are served, at the median latency and the servers' limits.
   double expectedWaitMs(ServiceState const& service, std::size_t queuedAhead) const;
   bool wouldMissLatencyTarget(RequestState const& request, std::uint32_t shard) const;
   /// Hands waiting subrequests to idle servers, tenant by tenant; hedges stragglers once none waits.
--- a/libs/dispatch/src/server_selection.cpp
+++ b/libs/dispatch/src/server_selection.cpp
@@ -195,7 +195,7 @@
 }
 
 double Dispatcher::Impl::scoreOf(ServiceState const& service, ServerState const& server, bool idempotent) const {
-  // Expected latency times attempts in flight, raised by load and recent errors, reduced in the gateway's own zone.
+  // Expected latency times attempts in flight, raised by load, recent errors and warm-up, reduced in the own zone.
   double const medianMs = std::max(0.1, service.latencies.medianMs());
   double const decay = exponentialDecay(now - server.latencyUpdatedAt, 3);
   double latencyMs = server.latencyMs <= 0 ? medianMs : medianMs + (server.latencyMs - medianMs) * decay;
@@ -233,7 +233,7 @@
   }
   ShardAvailability const availability = availabilityOf(service);
   std::size_t at = (lastAttemptId + position.gatewayIndex) % count;
-  for (std::size_t seen = 0; seen < count; ++seen, at = at + 1 == count ? 0 : at + 1) {
+  for (std::size_t visited = 0; visited < count; ++visited, at = at + 1 == count ? 0 : at + 1) {
     ServerState& server = service.servers[at];
     if (!isEligible(server, availability) || attemptLog.hasTried(server.id) ||
         !isIdle(service, server, extraSlots, availability)) {
--- a/libs/dispatch/src/shard_queues.cpp
+++ b/libs/dispatch/src/shard_queues.cpp
@@ -145,6 +145,7 @@
         Subrequest& subrequest = request.subrequests[key.shard];
         bool const wouldMissDeadline =
             request.arrivedAt < now && millis(request.answerBy - now) < latenciesOf(service, request.kind).tailMs();
+        // A tenant with nothing in flight may exceed a server's limit by one, so that other tenants cannot block it.
         ServerState* const server =
             windowHasRoom && !wouldMissDeadline
                 ? chooseIdle(service, subrequest.attemptLog, request.idempotent, occupied == 0 ? 1 : 0)
@@ -232,6 +233,7 @@
     }
     RequestState& request = requests.at(candidate.key.request);
     Subrequest& subrequest = request.subrequests[candidate.key.shard];
+    // Passed as not idempotent, so that hedged attempts avoid half-open servers.
     ServerState* const server = chooseIdle(service, subrequest.attemptLog, false, 0);
     if (server == nullptr) {
       service.wakeAt = std::min(service.wakeAt, now + options.hedging.noServerRetryMs);
@@ -298,6 +300,7 @@
         return &entry.second != &tenant && now - entry.second.lastEnqueuedAt < options.tenantWindow.activeMs;
       });
   double const minWindow = onlyActiveTenant ? static_cast<double>(std::max<std::size_t>(1, service.servers.size())) : 1;
+  // At most one shrink per latency, since answers that were in flight together report the same queue.
   if (!tenant.waiting.empty() && millis(now - tenant.lastShrunkAt) >= latencyMs) {
     tenant.lastShrunkAt = now;
     tenant.shrunk = true;
--- a/tests/dispatch_test.cpp
+++ b/tests/dispatch_test.cpp
@@ -359,13 +359,13 @@
   std::vector<ServerStatus> before = harness.dispatcher.servers(harness.now);
   EXPECT_TRUE(before[0].ejected);
   harness.arrive(5, {"a"}, 1, 1, true, Ms(500));
-  std::uint64_t const old = harness.sent.back().attempt;
+  std::uint64_t const oldAttempt = harness.sent.back().attempt;
   harness.step(ServersUpdated{"a", {endpointOf("s", "l2")}});
   EXPECT_FALSE(harness.dispatcher.servers(harness.now)[0].ejected);
   EXPECT_EQ(harness.dispatcher.servers(harness.now)[0].inFlight, 0u);
   harness.arrive(6, {"a"}, 1, 1, true, Ms(500));
   EXPECT_EQ(harness.sent.back().incarnation, "l2");
-  harness.succeed(old);
+  harness.succeed(oldAttempt);
   EXPECT_EQ(harness.dispatcher.servers(harness.now)[0].inFlight, 1u);
   EXPECT_EQ(harness.dispatcher.requests(), 1u);
 }
@@ -490,14 +490,14 @@
     harness.succeed(harness.sent.back().attempt);
     harness.now += Ms(10);
   }
-  bool again = false;
+  bool usedAgain = false;
   for (std::uint64_t request = 100; request <= 140; ++request) {
     harness.arrive(request, {"a"}, 1, 1, true, Ms(500));
-    again = again || harness.sent.back().server == warmingServer;
+    usedAgain = usedAgain || harness.sent.back().server == warmingServer;
     harness.succeed(harness.sent.back().attempt);
     harness.now += Ms(10);
   }
-  EXPECT_TRUE(again);
+  EXPECT_TRUE(usedAgain);
 }
 
 TEST(Draining, ServerGetsNoNewWorkAndFinishesOpenAttempts) {
@@ -571,7 +571,7 @@
   std::mt19937_64 random;
   DispatcherHarness harness;
   std::multimap<TimePoint, SendAttempt> due;
-  std::size_t known = 0;
+  std::size_t processed = 0;
 
   std::uint64_t randomBelow(std::uint64_t bound) { return random() % bound; }
   void arriveWithTarget(std::uint64_t request, std::vector<std::string> services, std::size_t minimum, bool idempotent,
@@ -602,8 +602,8 @@
     std::map<std::uint64_t, SendAttempt> open;
     std::set<std::uint64_t> mayHaveRun;
     std::set<std::uint64_t> sentOnce;
-    std::size_t known = 0;
-    std::size_t cancelledKnown = 0;
+    std::size_t processed = 0;
+    std::size_t processedCancellations = 0;
     std::map<std::uint64_t, std::uint64_t> requestOf;
     for (int turn = 0; turn < 120; ++turn) {
       if (simulation.randomBelow(3) == 0) {
@@ -629,8 +629,8 @@
         }
       }
       harness.advance(Ms(5 * static_cast<long>(1 + simulation.randomBelow(4))));
-      for (; known < harness.sent.size(); ++known) {
-        SendAttempt const& send = harness.sent[known];
+      for (; processed < harness.sent.size(); ++processed) {
+        SendAttempt const& send = harness.sent[processed];
         EXPECT_FALSE(mayHaveRun.contains(send.request)) << "seed " << seed;
         EXPECT_FALSE(send.hedged) << "seed " << seed;
         for (std::pair<std::uint64_t const, SendAttempt> const& other : open) {
@@ -640,8 +640,8 @@
         requestOf[send.attempt] = send.request;
         open[send.attempt] = send;
       }
-      for (; cancelledKnown < harness.cancelled.size(); ++cancelledKnown) {
-        std::uint64_t const attempt = harness.cancelled[cancelledKnown];
+      for (; processedCancellations < harness.cancelled.size(); ++processedCancellations) {
+        std::uint64_t const attempt = harness.cancelled[processedCancellations];
         EXPECT_GE(harness.now, deadlines[requestOf[attempt]] - Ms(31)) << "seed " << seed;
         open.erase(attempt);
       }
@@ -728,7 +728,7 @@
   DispatcherHarness& harness = simulation.harness;
   std::map<std::string, std::size_t> counts;
   std::multimap<TimePoint, SendAttempt>& due = simulation.due;
-  std::size_t& known = simulation.known;
+  std::size_t& processed = simulation.processed;
   std::uint64_t request = firstRequest;
   for (TimePoint const end = harness.now + lengthMs; harness.now < end; harness.now += Ms(1)) {
     while (!due.empty() && due.begin()->first <= harness.now) {
@@ -749,8 +749,8 @@
       simulation.arriveWithTarget(++request, services, minimum, true, Ms(80), Ms(400));
     }
     harness.step(Tick{});
-    for (; known < harness.sent.size(); ++known) {
-      SendAttempt const& send = harness.sent[known];
+    for (; processed < harness.sent.size(); ++processed) {
+      SendAttempt const& send = harness.sent[processed];
       ++counts[send.server];
       std::map<std::string, Ms>::const_iterator const latency = behavior.latencyMs.find(send.server);
       if (!behavior.unresponsive.contains(send.server)) {
@@ -855,7 +855,7 @@
       for (ServerStatus const& server : simulation.harness.dispatcher.servers(simulation.harness.now)) {
         ejected += server.ejected ? 1 : 0;
       }
-      EXPECT_LE(ejected, 2u) << "seed " << seed << ", " << count << " bad";
+      EXPECT_LE(ejected, 2u) << "seed " << seed << ", " << count << " failing";
       if (count == 1) {
         EXPECT_LT(attempts.contains("a-0") ? attempts.at("a-0") : 0, attempts.at("a-3") / 4) << "seed " << seed;
       }
