--- a/libs/control/include/limeramp/control/control_server.h
+++ b/libs/control/include/limeramp/control/control_server.h
@@ -10,15 +10,16 @@
 
 namespace limeramp::control {
 
-/// A running controller: a member of the control group that takes operators' changes, makes them safe and hands them
-/// out.
+/// A running controller: a member of the control group that accepts operators' changes, replicates them durably and
+/// distributes them.
 ///
-/// It runs on three threads of its own from `start` until it is destroyed: network, event loop and disk. Its functions
-/// may be called from any thread.
+/// Runs threads of its own for the network, the event loop, disk writes and the evaluation of orders, from `start`
+/// until destruction. Its functions may be called from any thread.
 class ControlServer {
  public:
-  /// Opens the disk folder, takes the addresses that the settings name, and begins. Without a folder it keeps nothing.
-  /// @return nothing, with the reason in `error`, if the folder or an address cannot be used
+  /// Opens the data folder, listens on the addresses of the settings, and starts the threads. Without a data folder
+  /// nothing is stored.
+  /// @return null, with the reason in `error`, if the folder or an address cannot be used
   static std::unique_ptr<ControlServer> start(config::Settings const& settings, std::string& error,
                                               OperatorProtocolAdapter const& adapter = {},
                                               config::ConfigSchema const& schema = config::nativeConfigSchema());
@@ -26,13 +27,14 @@
   ControlServer(ControlServer const&) = delete;
   ControlServer& operator=(ControlServer const&) = delete;
 
-  /// Looks at this settings file now and then, and takes what can change while the process runs.
+  /// Polls this settings file, and applies the settings that can change while the process runs.
   void follow(config::SettingsFile file);
 
-  /// Reads the settings file at once. No call notices.
+  /// Reads the settings file immediately. Calls in progress are not affected.
   void reload();
 
-  /// Hands the duties over and takes no new connections; returns within the grace time of the settings.
+  /// Hands over the controller's role in the group, then stops accepting connections. Blocks, for at most the grace
+  /// time of the settings.
   void drain();
 
  private:
--- a/libs/control/include/limeramp/control/order_forwarder.h
+++ b/libs/control/include/limeramp/control/order_forwarder.h
@@ -7,37 +7,41 @@
 #include <memory>
 #include <string>
 
-/// Carries a Relay's effects out over HTTP.
+/// Executes the effects of a Relay over HTTP.
 namespace limeramp::control {
 
-/// The caller of a request that a listener handed on has left before its answer.
+/// The caller of a request left before the request was answered.
 struct RequestAbandoned {
+  /// `net::Request::token` of the request.
   std::uint64_t requestToken = 0;
 };
 
-/// What came of one attempt, on its way back to the thread that owns the forwarder.
+/// The result of one attempt, to be passed to `onFinished` on the forwarder's thread.
 struct ForwardFinished {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   net::Exchange exchange;
 };
 
-/// Forwards operators' calls to the primary. Belongs to one thread; `post` brings results back to it and is called on
-/// the network's thread.
+/// Forwards operators' calls to the primary. Confined to one thread. `post` is called on the network thread with the
+/// result of each attempt, and must bring it to the forwarder's thread.
 class OrderForwarder {
  public:
   using Post = std::function<void(ForwardFinished)>;
+  /// Ids of attempts in `client` count up from `firstAttempt`.
   OrderForwarder(net::HttpClient& client, std::string const& advertise, std::uint64_t firstAttempt, Post post);
   ~OrderForwarder();
   OrderForwarder(OrderForwarder const&) = delete;
   OrderForwarder& operator=(OrderForwarder const&) = delete;
 
-  /// Forwards an order or a read that came at `arrivedAt`; its deadline counts from then.
+  /// Forwards an order or a read that arrived at `arrivedAt`, from which its deadline counts. Answers a malformed call,
+  /// and one that another node has forwarded already.
   void take(TimePoint now, TimePoint arrivedAt, net::Request content, net::Responder respond);
-  void onFinished(TimePoint now, ForwardFinished& back);
-  /// The caller of the request with this token has left: an order that needs its caller is not sent on any more, and
-  /// the connection on which it is under way is closed, which tells the primary.
+  void onFinished(TimePoint now, ForwardFinished& finished);
+  /// The caller of the request with this token has left. An order that needs its caller is not sent again, and the
+  /// connection of its attempt in flight is closed, which tells the primary.
   void onCallerLeft(TimePoint now, std::uint64_t requestToken);
+  /// To be called periodically. `primaryAddress` is empty while no primary is known.
   void tick(TimePoint now, std::string const& primaryAddress);
 
  private:
--- a/libs/control/include/limeramp/control/relay.h
+++ b/libs/control/include/limeramp/control/relay.h
@@ -8,73 +8,77 @@
 #include <variant>
 #include <vector>
 
-/// Hands an operator's order on from any node to the primary, again and again until it is decided or its deadline
-/// passes.
+/// Relays an operator's order from any node to the primary, and retries until it is decided or its deadline passes.
 namespace limeramp::control {
 
-/// Bounds of the relay.
+/// Options of the relay.
 struct RelayOptions {
+  /// Orders relayed at a time; further ones end with `notRun`.
   std::size_t maxRelays = 256;
-  std::chrono::milliseconds againMs{200};
+  /// Pause between the end of an attempt that did not decide the order and the next attempt at the same primary.
+  std::chrono::milliseconds retryDelayMs{200};
 };
 
-/// An order that must be decided by the primary.
+/// An order to be relayed to the primary.
 struct RelayRequested {
   std::uint64_t ticket = 0;
   TimePoint deadline;
 };
-/// Where the primary is now; empty if it is not known.
+/// The primary's current address; empty if no primary is known.
 struct RelayPrimary {
   std::string address;
 };
-/// What came back of one attempt to hand an order to the primary.
+/// The result of one attempt to send an order to the primary.
 enum class RelayOutcome {
-  /// An answer that names this order and decides it.
+  /// The answer names this order and decides it.
   final,
-  /// This attempt did not run and never will.
+  /// The attempt did not run and never will.
   notRun,
-  /// No answer, or one that decides nothing.
+  /// There is no answer, or one that does not decide the order.
   mayHaveRun
 };
-/// What came of an attempt.
+/// An attempt has ended.
 struct RelayAttemptFinished {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   RelayOutcome outcome = RelayOutcome::mayHaveRun;
 };
 
-/// All that can happen to relayed orders. CallerLeft: the attempt under way is cancelled, and none follows.
+/// Input of the relay. CallerLeft cancels the order's attempt in flight and ends the order.
 using RelayEvent = std::variant<RelayRequested, RelayPrimary, RelayAttemptFinished, CallerLeft, Tick>;
 
-/// Send the order there. It names its key, so that it is carried out once however often it is sent.
+/// Sends the order to `address`. Each attempt carries the order's idempotency key, so that the order is executed once
+/// however often it is sent.
 struct RelaySend {
   std::uint64_t ticket = 0;
   std::uint64_t attempt = 0;
   std::string address;
   TimePoint deadline;
 };
-/// The attempt is no longer wanted.
+/// Cancels an attempt.
 struct RelayCancel {
   std::uint64_t attempt = 0;
 };
-/// The last attempt's answer decides the order: hand it to the caller.
+/// Passes the answer of the attempt that just finished to the caller: it decides the order.
 struct RelayDone {
   std::uint64_t ticket = 0;
 };
 
-/// All that a step can ask for.
+/// Output of the relay. OrderOutcome ends an order that no answer has decided.
 using RelayEffect = std::variant<RelaySend, RelayCancel, RelayDone, OrderOutcome>;
 
-/// A pure state machine. Each order ends with RelayDone or with an OrderOutcome; `notRun` only if no attempt may have
-/// run. Not safe for use by several threads.
+/// The state machine of the relay, without I/O. Not thread-safe. Invariants: each order has at most one attempt in
+/// flight and ends exactly once, with RelayDone or with an OrderOutcome, whose status is `notRun` only if no attempt
+/// may have run.
 class Relay {
  public:
+  /// The first attempt gets the id `firstAttempt` + 1.
   Relay(RelayOptions const& options, std::uint64_t firstAttempt);
   ~Relay();
   Relay(Relay&&) noexcept;
   Relay& operator=(Relay&&) noexcept;
 
-  /// Takes one event; effects are to be carried out in their order.
+  /// Handles one event. The caller executes the effects in their order.
   std::vector<RelayEffect> step(TimePoint now, RelayEvent const& event);
 
  private:
--- a/libs/control/src/control_server.cpp
+++ b/libs/control/src/control_server.cpp
@@ -1,4 +1,4 @@
-// Start and end of a controller.
+// Startup and shutdown of a controller.
 #include "control_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -16,16 +16,17 @@
 namespace {
 
 constexpr std::size_t maxInboundMessages = 8'192;
-/// Of the inbound messages' places, those that requests leave to the controller's own.
-constexpr std::size_t slotsReservedForOwn = 4'096;
+/// Slots of the inbound ring that requests must leave free for the controller's internal messages (disk results,
+/// finished attempts, shutdown).
+constexpr std::size_t slotsReservedForInternal = 4'096;
 constexpr std::size_t maxRequestBytes = 4 << 20;
-/// Kept back from the grace time for closing the listeners and the disk.
-constexpr Ms closingMs{600};
+/// Part of the grace time that is reserved for closing the listeners and the store.
+constexpr Ms closingReserveMs{600};
 
 absl::Status openRecordStore(config::Settings const& settings, std::unique_ptr<storage::RecordStore>& store) {
-  storage::RingLayout shape;
-  shape.fileBytes = std::max(settings.storeFileBytes, minStoreFileBytes(ConfigServiceOptions{}));
-  absl::StatusOr<std::unique_ptr<storage::RecordStore>> opened = storage::RecordStore::open(settings.data, shape);
+  storage::RingLayout layout;
+  layout.fileBytes = std::max(settings.storeFileBytes, minStoreFileBytes(ConfigServiceOptions{}));
+  absl::StatusOr<std::unique_ptr<storage::RecordStore>> opened = storage::RecordStore::open(settings.data, layout);
   if (!opened.ok()) {
     return opened.status();
   }
@@ -41,9 +42,9 @@
 }
 
 std::string newMemberId(std::string const& node) {
-  char start[20];
-  std::snprintf(start, sizeof start, "%08llx", static_cast<unsigned long long>(net::randomUint64() & 0xffffffff));
-  return node + "/" + start;
+  char suffix[20];
+  std::snprintf(suffix, sizeof suffix, "%08llx", static_cast<unsigned long long>(net::randomUint64() & 0xffffffff));
+  return node + "/" + suffix;
 }
 
 absl::Status readIdentity(storage::RecordStore& store, Identity& identity) {
@@ -78,18 +79,18 @@
       client(network, {}),
       peerLink(network, identity.id, settingsIn.advertise),
       inboundMessages(maxInboundMessages),
-      diskWriter(std::move(storeIn), [this](DiskDone done) { inboundMessages.push(std::move(done)); }),
+      diskWriter(std::move(storeIn), [this](DiskWriteFinished done) { inboundMessages.push(std::move(done)); }),
       group(replication::optionsFor(settingsIn.machineLosses)),
       service(ConfigServiceOptions{}, identity.id, schemaIn),
-      evaluations(service.evaluator(),
-                  [this](OrderEvaluated evaluated) { inboundMessages.push(std::move(evaluated)); }),
+      evaluationThread(service.evaluator(),
+                       [this](OrderEvaluated evaluated) { inboundMessages.push(std::move(evaluated)); }),
       views({},
             messages::Peer{identity.id, settingsIn.advertise, settingsIn.zone, messages::controllerRole,
                            net::randomUint64() >> 1, 0},
             settingsIn.seeds, net::randomUint64()),
       listeners(network),
       forwarder(client, settingsIn.advertise, 0,
-                [this](ForwardFinished back) { inboundMessages.push(std::move(back)); }),
+                [this](ForwardFinished finished) { inboundMessages.push(std::move(finished)); }),
       graceMs(settingsIn.graceMs) {}
 
 net::ServerOptions ControlServer::Impl::listenerOptions() {
@@ -106,18 +107,18 @@
   peers.watchesCaller = needsCaller;
   net::ServerOptions operators = listenerOptions();
   operators.watchesCaller = mayBeOrder;
-  OperatorHandler const own = [this](net::Request request, net::Responder respond) {
-    take(std::move(request), std::move(respond));
+  OperatorHandler const handleNative = [this](net::Request request, net::Responder respond) {
+    enqueue(std::move(request), std::move(respond));
   };
-  net::HttpServer::Handler const takeOperator = [this, own](net::Request request, net::Responder respond) {
-    serveOperator(adapter, std::move(request), std::move(respond), own);
+  net::HttpServer::Handler const handleOperator = [this, handleNative](net::Request request, net::Responder respond) {
+    serveOperator(adapter, std::move(request), std::move(respond), handleNative);
   };
-  return listeners.listen(Audience::peers, {settings.listen}, peers, own, error) &&
-         listeners.listen(Audience::operators, settings.operatorListens, operators, takeOperator, error);
+  return listeners.listen(Audience::peers, {settings.listen}, peers, handleNative, error) &&
+         listeners.listen(Audience::operators, settings.operatorListens, operators, handleOperator, error);
 }
 
-void ControlServer::Impl::take(net::Request request, net::Responder respond) {
-  if (!inboundMessages.tryPush(Incoming{std::move(request), respond}, slotsReservedForOwn)) {
+void ControlServer::Impl::enqueue(net::Request request, net::Responder respond) {
+  if (!inboundMessages.tryPush(Incoming{std::move(request), respond}, slotsReservedForInternal)) {
     respond(plain(503, "{\"outcome\":\"not_run\",\"reason\":\"overloaded\"}"));
   }
 }
@@ -125,7 +126,8 @@
 void ControlServer::Impl::drainAndWait() {
   inboundMessages.push(DrainRequested{});
   std::unique_lock<std::mutex> lock(shutdownMutex);
-  shutdownChanged.wait_for(lock, std::max(graceMs - closingMs, graceMs / 2), [this] { return shutdownComplete; });
+  shutdownChanged.wait_for(lock, std::max(graceMs - closingReserveMs, graceMs / 2),
+                           [this] { return shutdownComplete; });
   listeners.stopAccepting();
 }
 
@@ -150,15 +152,15 @@
   if (!impl.listen(error)) {
     return nullptr;
   }
-  impl.core = std::thread([&impl] { impl.runEventLoop(); });
+  impl.eventLoopThread = std::thread([&impl] { impl.runEventLoop(); });
   return controller;
 }
 
 ControlServer::~ControlServer() {
   if (impl_ != nullptr) {
     impl_->inboundMessages.close();
-    if (impl_->core.joinable()) {
-      impl_->core.join();
+    if (impl_->eventLoopThread.joinable()) {
+      impl_->eventLoopThread.join();
     }
     impl_->network.stop();
   }
--- a/libs/control/src/control_server_impl.h
+++ b/libs/control/src/control_server_impl.h
@@ -28,73 +28,75 @@
 struct Incoming {
   net::Request content;
   net::Responder respond;
-  /// When the network thread had read the request: a process that is held up afterwards does not prolong its deadline.
+  /// When the network thread had read the request. Deadlines count from here, so a stall of the event loop does not
+  /// extend them.
   Clock::time_point arrivedAt = Clock::now();
 };
 
-/// Asks the controller to hand its duties over.
+/// Asks the controller to begin its shutdown and hand over its role in the group.
 struct DrainRequested {};
 
-/// Names the settings file to follow from now on.
+/// Makes the controller watch this settings file from now on.
 struct FollowSettings {
   config::SettingsFile file;
 };
 
-/// Asks for the settings file to be read at once.
+/// Asks the controller to read the settings file immediately.
 struct ReloadRequested {};
 
-using InboundMessage = std::variant<Incoming, RequestAbandoned, DiskDone, OrderEvaluated, ForwardFinished,
+using InboundMessage = std::variant<Incoming, RequestAbandoned, DiskWriteFinished, OrderEvaluated, ForwardFinished,
                                     ProbeFinished, DrainRequested, FollowSettings, ReloadRequested>;
 
-/// An operator's order to force a new group, while the configuration for it is being fetched.
+/// An operator's order to force a new group, while the configuration is fetched from a gateway.
 struct PendingForcedGroup {
-  /// The node that holds the configuration.
-  std::string from;
+  /// Address of the node that holds the configuration.
+  std::string sourceAddress;
   net::Responder respond;
   std::uint64_t callerToken = 0;
   Clock::time_point deadline;
-  Clock::time_point nextAt;
+  /// When the configuration is requested again.
+  Clock::time_point nextRequestAt;
 };
 
-/// An operator's call whose outcome the configuration service has yet to decide.
+/// An operator's call that awaits its outcome from the configuration service.
 struct WaitingCall {
   net::Responder respond;
-  /// The id of its change; empty for a read.
-  std::string change;
-  /// Of a request that needs its caller; 0 for others.
+  /// The change's id; empty for a read.
+  std::string changeId;
+  /// Token of a request that must not outlive its caller (`needsCaller`); 0 for all others.
   std::uint64_t callerToken = 0;
 };
 
-/// Who this controller is in the group: what its disk says, or what a new disk begins with.
+/// This controller's identity in the group: read from the store, or generated and written to an empty one.
 struct Identity {
   std::string id;
   bool mayFound = false;
   std::vector<std::string> founders;
 };
 
-/// All of a controller. Its members belong to the thread of the event loop, but for the ring of inbound messages and
-/// what `shutdownMutex` guards.
+/// The whole state of a controller. All members are confined to the event loop's thread, except the ring of inbound
+/// messages, which is thread-safe, and the members that `shutdownMutex` guards.
 ///
-/// The functions stand by job in event_loop.cpp, state_machines.cpp, operator_calls.cpp, force_new_group.cpp and
-/// status_pages.cpp.
+/// The member functions are defined in control_server.cpp, event_loop.cpp, state_machines.cpp, operator_calls.cpp,
+/// force_new_group.cpp and status_pages.cpp.
 struct ControlServer::Impl {
   Impl(config::Settings const& settingsIn, OperatorProtocolAdapter const& adapterIn,
        config::ConfigSchema const& schemaIn, std::unique_ptr<storage::RecordStore> storeIn, Identity const& identity);
 
-  // Start and end: control_server.cpp.
+  // Startup and shutdown: control_server.cpp.
   bool listen(std::string& error);
   net::ServerOptions listenerOptions();
-  void take(net::Request request, net::Responder respond);
+  void enqueue(net::Request request, net::Responder respond);
   void drainAndWait();
 
-  // The loops: event_loop.cpp.
+  // The event loop and its handlers: event_loop.cpp.
   void runEventLoop();
   void tick();
   void restoreMembers();
   void storeMembers(std::vector<replication::Member> const& members);
   void on(Incoming& inbound);
   void on(RequestAbandoned const& inbound);
-  void on(DiskDone& inbound);
+  void on(DiskWriteFinished& inbound);
   void on(OrderEvaluated const& inbound) { stepService(inbound); }
   void on(ForwardFinished& inbound) { forwarder.onFinished(Clock::now(), inbound); }
   void on(ProbeFinished& inbound) { stepService(inbound); }
@@ -103,7 +105,7 @@
   void on(ReloadRequested&) { apply(settingsFollower.reload(Clock::now())); }
   void apply(std::optional<config::SettingsUpdate> const& update);
 
-  // The state machines and their effects: state_machines.cpp.
+  // Stepping the state machines and executing their effects: state_machines.cpp.
   void stepGroup(replication::GroupEvent const& event);
   void stepService(ConfigServiceEvent const& event);
   void apply(OrderOutcome const& decided);
@@ -112,7 +114,7 @@
   void reply(std::uint64_t ticket, net::Answer answer);
   void receivePeerMessage(std::string const& body);
 
-  // Calls under /limeramp: operator_calls.cpp.
+  // HTTP calls under /limeramp: operator_calls.cpp.
   void readConfiguration(Incoming& inbound);
   void changeConfiguration(Incoming& inbound);
   void removeNodes(Incoming& inbound);
@@ -120,12 +122,12 @@
     forwarder.take(Clock::now(), inbound.arrivedAt, std::move(inbound.content), std::move(inbound.respond));
   }
 
-  // A new group by an operator's word: force_new_group.cpp.
+  // Forcing a new group on an operator's order: force_new_group.cpp.
   void forceNewGroup(Incoming& inbound);
   void continueForcingNewGroup(Clock::time_point now);
   void finishForcingNewGroup(std::string const& refusal);
 
-  // Pages: status_pages.cpp.
+  // Status and readiness pages: status_pages.cpp.
   net::Answer statusPage() const;
   net::Answer readinessPage() const;
 
@@ -142,22 +144,24 @@
   DiskWriter diskWriter;
   replication::ReplicationGroup group;
   ConfigService service;
-  EvaluationThread evaluations;
+  EvaluationThread evaluationThread;
   distribution::PeerViews views;
   node::Listeners listeners;
-  std::thread core;
+  std::thread eventLoopThread;
   OrderForwarder forwarder;
   std::unordered_map<std::uint64_t, WaitingCall> waitingCalls;
   std::uint64_t lastTicket = 0;
-  /// Whether a message came from a fleet that was founded while this controller knows none.
-  bool fleetElsewhere = false;
-  /// The members as they were last handed to the disk; empty if that write failed, so that they are written again.
-  std::string keptMembers;
+  /// Whether a message of an already founded fleet arrived while this controller belonged to none. It then no longer
+  /// takes part in founding a group.
+  bool foreignFleetSeen = false;
+  /// The packed members that were last handed to the disk writer. Cleared when a write fails, so that they are written
+  /// again.
+  std::string lastStoredMembers;
   Clock::time_point startedAt = Clock::now();
   bool draining = false;
   std::optional<PendingForcedGroup> forcingNewGroup;
 
-  /// Guards what the thread that ends the process reads.
+  /// Guards the members below, which the thread that shuts the process down reads.
   std::mutex shutdownMutex;
   std::condition_variable shutdownChanged;
   bool shutdownComplete = false;
--- a/libs/control/src/disk_writer.h
+++ b/libs/control/src/disk_writer.h
@@ -13,51 +13,52 @@
 
 namespace limeramp::control {
 
-/// Records that are to be made safe on the disk.
-struct DiskJob {
+/// A batch of records to be written durably.
+struct DiskWrite {
   std::uint64_t token = 0;
   storage::Puts puts;
-  /// Write these and all earlier values anew, since an earlier write failed.
+  /// Rewrite the store with these records and all earlier values. Needed after a failed write.
   bool rewrite = false;
 };
 
-/// What came of writing to the disk.
-struct DiskDone {
+/// The result of a write.
+struct DiskWriteFinished {
   std::uint64_t token = 0;
-  bool good = false;
+  bool succeeded = false;
   std::string reason;
 };
 
-/// Writes a controller's records on a thread of its own, in the order in which they come.
+/// Writes a controller's records on a dedicated thread, in the order of the calls to `write`.
 ///
-/// Guarantees that no record is on the disk without all that were handed in before it: after one has failed, or found
-/// no place in the queue, all are refused until a rewrite has succeeded. `write` is called by one thread; `done` is
-/// called by the disk's thread, or by `write` itself where the queue is full.
+/// Guarantees that no record is on the disk without all records that were handed in before it: after a write has
+/// failed, or was dropped because the queue was full, all writes fail until a rewrite has succeeded. `write` is called
+/// by one thread; `done` is called on the writer's thread, or by `write` itself if the queue is full.
 class DiskWriter {
  public:
-  /// Without a store every write is said to be good at once, since there is nothing to keep.
-  DiskWriter(std::unique_ptr<storage::RecordStore> store, std::function<void(DiskDone)> done);
+  /// Without a store every write is reported as successful, since nothing is kept.
+  DiskWriter(std::unique_ptr<storage::RecordStore> store, std::function<void(DiskWriteFinished)> done);
   ~DiskWriter();
   DiskWriter(DiskWriter const&) = delete;
   DiskWriter& operator=(DiskWriter const&) = delete;
 
-  /// What the disk held when it was opened. Empty without a store. To be called, and read, before `start` only.
+  /// The records that the store held when it was opened; empty without a store. The reference may be obtained and read
+  /// only before `start`.
   std::map<std::string, std::string> const& storedAtStart() const;
   bool keepsRecords() const { return store_ != nullptr; }
-  /// Begins to write what was handed in.
+  /// Starts the thread, which first writes the records queued so far.
   void start();
-  void write(DiskJob job);
+  void write(DiskWrite records);
 
  private:
   void run();
-  absl::Status carryOut(DiskJob const& job);
+  absl::Status perform(DiskWrite const& records);
 
-  /// Belongs to the disk's thread from `start` on.
+  /// Confined to the writer's thread from `start` on.
   std::unique_ptr<storage::RecordStore> store_;
-  std::function<void(DiskDone)> done_;
-  net::Ring<DiskJob> jobs_;
-  /// A record found no place in the queue, and no rewrite has been done since.
-  std::atomic<bool> recordMissing_{false};
+  std::function<void(DiskWriteFinished)> done_;
+  net::Ring<DiskWrite> queue_;
+  /// Whether a record was dropped because the queue was full, and no rewrite has succeeded since.
+  std::atomic<bool> recordDropped_{false};
   std::thread thread_;
 };
 
--- a/libs/control/src/evaluation_thread.cpp
+++ b/libs/control/src/evaluation_thread.cpp
@@ -6,24 +6,24 @@
 namespace limeramp::control {
 namespace {
 
-/// The configuration service has one order evaluated at a time.
-constexpr std::size_t maxWanted = 1;
+/// The configuration service requests one evaluation at a time.
+constexpr std::size_t maxQueuedOrders = 1;
 
 }  // namespace
 
 EvaluationThread::EvaluationThread(OrderEvaluator evaluator, std::function<void(OrderEvaluated)> done)
-    : evaluator_(std::move(evaluator)), done_(std::move(done)), wanted_(maxWanted), thread_([this] { run(); }) {}
+    : evaluator_(std::move(evaluator)), done_(std::move(done)), queue_(maxQueuedOrders), thread_([this] { run(); }) {}
 
 EvaluationThread::~EvaluationThread() {
-  wanted_.close();
+  queue_.close();
   thread_.join();
 }
 
-void EvaluationThread::evaluate(EvaluateOrder wanted) { wanted_.push(std::move(wanted)); }
+void EvaluationThread::evaluate(EvaluateOrder order) { queue_.push(std::move(order)); }
 
 void EvaluationThread::run() {
-  while (std::optional<EvaluateOrder> const wanted = wanted_.pop()) {
-    done_({wanted->token, evaluator_.evaluate(*wanted)});
+  while (std::optional<EvaluateOrder> const order = queue_.pop()) {
+    done_({order->token, evaluator_.evaluate(*order)});
   }
 }
 
--- a/libs/control/src/evaluation_thread.h
+++ b/libs/control/src/evaluation_thread.h
@@ -8,25 +8,26 @@
 
 namespace limeramp::control {
 
-/// Evaluates orders on a thread of its own, so that heartbeats do not wait while long documents are read.
+/// Evaluates orders on a dedicated thread, so that parsing a large document does not delay heartbeats.
 ///
-/// `evaluate` is called by one thread, and not before the last order was reported; `done` is called by this one's.
+/// `evaluate` is called by one thread, and only after `done` was called for the previous order; `done` is called on the
+/// dedicated thread.
 class EvaluationThread {
  public:
   EvaluationThread(OrderEvaluator evaluator, std::function<void(OrderEvaluated)> done);
-  /// Waits for the order that is being evaluated.
+  /// Waits until the order under evaluation is done.
   ~EvaluationThread();
   EvaluationThread(EvaluationThread const&) = delete;
   EvaluationThread& operator=(EvaluationThread const&) = delete;
 
-  void evaluate(EvaluateOrder wanted);
+  void evaluate(EvaluateOrder order);
 
  private:
   void run();
 
   OrderEvaluator const evaluator_;
   std::function<void(OrderEvaluated)> const done_;
-  net::Ring<EvaluateOrder> wanted_;
+  net::Ring<EvaluateOrder> queue_;
   std::thread thread_;
 };
 
--- a/libs/control/src/event_loop.cpp
+++ b/libs/control/src/event_loop.cpp
@@ -1,4 +1,5 @@
-// The loops of a controller: inbound messages and the timer on one thread, the disk on another.
+// The event loop of a controller: one thread handles the inbound messages and the timer. Disk writes run on another
+// thread.
 #include "control_server_impl.h"
 
 #include "limeramp/logging/logging.h"
@@ -8,12 +9,12 @@
 namespace {
 
 constexpr Ms tickMs{20};
-/// How long after the start every seed is asked.
-constexpr Ms eagerMs{1000};
-/// How long after the start the members that others name are not yet written to the disk.
-constexpr Ms membersKnownAfterMs{2000};
+/// For this long after the start, each tick contacts all seeds.
+constexpr Ms contactAllSeedsMs{1000};
+/// For this long after the start, the members learned from peers are not written to the disk.
+constexpr Ms memberDiscoveryMs{2000};
 constexpr char const* membersKey = "members";
-constexpr std::size_t maxKeptMembers = 16;
+constexpr std::size_t maxStoredMembers = 16;
 
 }  // namespace
 
@@ -41,15 +42,16 @@
 
 void ControlServer::Impl::tick() {
   Clock::time_point const now = Clock::now();
-  peerLink.sendAll(group.decided().fleet, views.tick(now, group.decided().epoch == 0 || now - startedAt < eagerMs));
+  peerLink.sendAll(group.decided().fleet,
+                   views.tick(now, group.decided().epoch == 0 || now - startedAt < contactAllSeedsMs));
   replication::KnownMembers known;
   for (messages::Peer const& peer : views.peers(now)) {
     if (peer.role == messages::controllerRole) {
       known.members.push_back({peer.node, peer.address, peer.zone});
     }
   }
-  known.mayFound = mayFound && !fleetElsewhere && views.mayFound(now);
-  if (now - startedAt > membersKnownAfterMs) {
+  known.mayFound = mayFound && !foreignFleetSeen && views.mayFound(now);
+  if (now - startedAt > memberDiscoveryMs) {
     storeMembers(known.members);
   }
   stepGroup(known);
@@ -83,12 +85,12 @@
   graceMs = settings.graceMs;
 }
 
-void ControlServer::Impl::on(DiskDone& inbound) {
-  if (!inbound.good) {
+void ControlServer::Impl::on(DiskWriteFinished& inbound) {
+  if (!inbound.succeeded) {
     logging::raise(logging::Event::diskFailed, {{"reason", inbound.reason}});
-    keptMembers.clear();
+    lastStoredMembers.clear();
   }
-  stepGroup(replication::PersistFinished{inbound.token, inbound.good});
+  stepGroup(replication::PersistFinished{inbound.token, inbound.succeeded});
 }
 
 void ControlServer::Impl::restoreMembers() {
@@ -107,15 +109,15 @@
 }
 
 void ControlServer::Impl::storeMembers(std::vector<replication::Member> const& members) {
-  messages::Shuffle kept;
+  messages::Shuffle stored;
   for (replication::Member const& member : members) {
-    if (kept.peers.size() < maxKeptMembers) {
-      kept.peers.push_back({member.id, member.address, member.zone, "", 0, 0});
+    if (stored.peers.size() < maxStoredMembers) {
+      stored.peers.push_back({member.id, member.address, member.zone, "", 0, 0});
     }
   }
-  std::string const packed = messages::pack(kept);
-  if (!group.unhealthy() && diskWriter.keepsRecords() && !members.empty() && packed != keptMembers) {
-    keptMembers = packed;
+  std::string const packed = messages::pack(stored);
+  if (!group.unhealthy() && diskWriter.keepsRecords() && !members.empty() && packed != lastStoredMembers) {
+    lastStoredMembers = packed;
     diskWriter.write({0, {{membersKey, packed}}});
   }
 }
--- a/libs/control/src/force_new_group.cpp
+++ b/libs/control/src/force_new_group.cpp
@@ -1,4 +1,4 @@
-// An operator's order to begin a new control group from the configuration that a gateway still holds.
+// Forces a new control group on an operator's order, from the configuration that a gateway still holds.
 #include "control_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -9,15 +9,17 @@
 
 std::string json(std::string const& text) { return picojson::value(text).serialize(); }
 
-constexpr Ms forceWaitMs{5'000};
-constexpr Ms forceRepeatMs{300};
+/// How long the gateway has to send the configuration.
+constexpr Ms fetchTimeoutMs{5'000};
+/// Interval between requests for the configuration.
+constexpr Ms fetchRetryMs{300};
 
 }  // namespace
 
 void ControlServer::Impl::forceNewGroup(Incoming& inbound) {
   std::variant<std::string, net::Answer> from = readForceNewGroup(inbound.content.body);
-  if (net::Answer* const wrong = std::get_if<net::Answer>(&from)) {
-    inbound.respond(std::move(*wrong));
+  if (net::Answer* const errorAnswer = std::get_if<net::Answer>(&from)) {
+    inbound.respond(std::move(*errorAnswer));
     return;
   }
   if (forcingNewGroup) {
@@ -26,19 +28,19 @@
   }
   Clock::time_point const now = Clock::now();
   forcingNewGroup = PendingForcedGroup{std::get<std::string>(from), std::move(inbound.respond), inbound.content.token,
-                                       now + forceWaitMs, now};
+                                       now + fetchTimeoutMs, now};
   continueForcingNewGroup(now);
 }
 
 void ControlServer::Impl::continueForcingNewGroup(Clock::time_point now) {
   if (forcingNewGroup && now >= forcingNewGroup->deadline) {
-    finishForcingNewGroup("no configuration came from " + forcingNewGroup->from);
-  } else if (forcingNewGroup && now >= forcingNewGroup->nextAt) {
-    forcingNewGroup->nextAt = now + forceRepeatMs;
-    messages::StateRequest poll;
-    poll.token = 1;
-    poll.self.address = settings.advertise;
-    peerLink.send(group.decided().fleet, forcingNewGroup->from, std::move(poll));
+    finishForcingNewGroup("no configuration came from " + forcingNewGroup->sourceAddress);
+  } else if (forcingNewGroup && now >= forcingNewGroup->nextRequestAt) {
+    forcingNewGroup->nextRequestAt = now + fetchRetryMs;
+    messages::StateRequest request;
+    request.token = 1;
+    request.self.address = settings.advertise;
+    peerLink.send(group.decided().fleet, forcingNewGroup->sourceAddress, std::move(request));
   }
 }
 
--- a/libs/control/src/operator_api.cpp
+++ b/libs/control/src/operator_api.cpp
@@ -36,34 +36,34 @@
 }
 
 constexpr std::string_view zonesPath = "/limeramp/zones/";
-constexpr std::string_view evacuatedEnd = "/emptied";
+constexpr std::string_view evacuatedSuffix = "/emptied";
 
 std::optional<std::string> zoneOf(std::string_view target) {
-  if (!target.starts_with(zonesPath) || !target.ends_with(evacuatedEnd) ||
-      target.size() <= zonesPath.size() + evacuatedEnd.size()) {
+  if (!target.starts_with(zonesPath) || !target.ends_with(evacuatedSuffix) ||
+      target.size() <= zonesPath.size() + evacuatedSuffix.size()) {
     return std::nullopt;
   }
-  return std::string(target.substr(zonesPath.size(), target.size() - zonesPath.size() - evacuatedEnd.size()));
+  return std::string(target.substr(zonesPath.size(), target.size() - zonesPath.size() - evacuatedSuffix.size()));
 }
 
 bool isZoneName(std::string const& name) {
-  return name.size() <= 64 && std::all_of(name.begin(), name.end(), [](char const inbound) {
-           return (inbound >= 'a' && inbound <= 'z') || (inbound >= 'A' && inbound <= 'Z') ||
-                  (inbound >= '0' && inbound <= '9') || inbound == '-' || inbound == '_' || inbound == '.';
+  return name.size() <= 64 && std::all_of(name.begin(), name.end(), [](char const character) {
+           return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
+                  (character >= '0' && character <= '9') || character == '-' || character == '_' || character == '.';
          });
 }
 
 template <typename Number>
 bool readNumber(std::string const& text, Number& value) {
-  char const* const last = text.data() + text.size();
-  std::from_chars_result const read = std::from_chars(text.data(), last, value);
-  return read.ec == std::errc() && read.ptr == last;
+  char const* const end = text.data() + text.size();
+  std::from_chars_result const read = std::from_chars(text.data(), end, value);
+  return read.ec == std::errc() && read.ptr == end;
 }
 
 std::string derivedId(net::Request const& request, std::string const& base) {
   std::string content;
-  for (std::string const* const part : {&request.method, &base, &request.body}) {
-    content += std::to_string(part->size()) + ":" + *part;
+  for (std::string const* const field : {&request.method, &base, &request.body}) {
+    content += std::to_string(field->size()) + ":" + *field;
   }
   XXH128_hash_t const digest = XXH3_128bits(content.data(), content.size());
   std::array<char, 48> text{};
@@ -155,8 +155,8 @@
     change.zone = ZoneOrder{*zone, request.method == "PUT"};
   }
   std::variant<TimePoint, net::Answer> deadline = readDeadline(request, arrivedAt);
-  if (net::Answer* const wrong = std::get_if<net::Answer>(&deadline)) {
-    return std::move(*wrong);
+  if (net::Answer* const errorAnswer = std::get_if<net::Answer>(&deadline)) {
+    return std::move(*errorAnswer);
   }
   change.deadline = std::get<TimePoint>(deadline);
   change.body = request.body;
@@ -165,8 +165,8 @@
 
 std::variant<std::vector<std::string>, net::Answer> readRemoveNodes(std::string const& body) {
   std::variant<picojson::value, net::Answer> read = readOneField(body, "nodes");
-  if (net::Answer* const wrong = std::get_if<net::Answer>(&read)) {
-    return std::move(*wrong);
+  if (net::Answer* const errorAnswer = std::get_if<net::Answer>(&read)) {
+    return std::move(*errorAnswer);
   }
   picojson::value const& nodes = std::get<picojson::value>(read);
   if (!nodes.is<picojson::array>() || nodes.get<picojson::array>().empty() ||
@@ -185,8 +185,8 @@
 
 std::variant<std::string, net::Answer> readForceNewGroup(std::string const& body) {
   std::variant<picojson::value, net::Answer> read = readOneField(body, "from");
-  if (net::Answer* const wrong = std::get_if<net::Answer>(&read)) {
-    return std::move(*wrong);
+  if (net::Answer* const errorAnswer = std::get_if<net::Answer>(&read)) {
+    return std::move(*errorAnswer);
   }
   picojson::value const& from = std::get<picojson::value>(read);
   if (!from.is<std::string>() || !net::Address::parse(from.get<std::string>())) {
@@ -206,40 +206,40 @@
 
 namespace {
 
-net::Answer outcomeOf(OrderOutcome const& decided, std::string const& change) {
-  std::string const tail = ",\"version\":" + json(decided.version.text()) + ",\"change\":" + json(change) +
-                           (decided.reason.empty() ? "" : ",\"reason\":" + json(decided.reason)) + "}";
-  switch (decided.verdict) {
+net::Answer outcomeAnswer(OrderOutcome const& outcome, std::string const& change) {
+  std::string const commonFields = ",\"version\":" + json(outcome.version.text()) + ",\"change\":" + json(change) +
+                                   (outcome.reason.empty() ? "" : ",\"reason\":" + json(outcome.reason)) + "}";
+  switch (outcome.verdict) {
     case OrderStatus::taken:
-      return plain(200, "{\"outcome\":\"taken\"" + tail);
+      return plain(200, "{\"outcome\":\"taken\"" + commonFields);
     case OrderStatus::conflict:
-      return plain(409, "{\"outcome\":\"conflict\"" + tail);
+      return plain(409, "{\"outcome\":\"conflict\"" + commonFields);
     case OrderStatus::notRun:
-      return plain(503, "{\"outcome\":\"not_run\"" + tail);
+      return plain(503, "{\"outcome\":\"not_run\"" + commonFields);
     case OrderStatus::unknown:
-      return plain(504, "{\"outcome\":\"unknown\"" + tail);
+      return plain(504, "{\"outcome\":\"unknown\"" + commonFields);
     case OrderStatus::refused:
       break;
   }
   std::string problems;
-  for (config::Problem const& problem : decided.problems) {
+  for (config::Problem const& problem : outcome.problems) {
     problems += (problems.empty() ? "" : ",") + std::string("{\"path\":") + json(problem.path) +
                 ",\"reason\":" + json(problem.reason) + "}";
   }
-  return plain(400, "{\"outcome\":\"refused\",\"problems\":[" + problems + "]" + tail);
+  return plain(400, "{\"outcome\":\"refused\",\"problems\":[" + problems + "]" + commonFields);
 }
 
 }  // namespace
 
-net::Answer answerOf(OrderOutcome const& decided, std::string const& change) {
-  net::Answer answer = outcomeOf(decided, change);
+net::Answer answerOf(OrderOutcome const& outcome, std::string const& change) {
+  net::Answer answer = outcomeAnswer(outcome, change);
   answer.headers.emplace_back(changeHeader, change);
   return answer;
 }
 
 std::optional<std::string> decidedChange(net::Answer const& answer) {
-  if (std::optional<std::string> named = net::findHeader(answer.headers, changeHeader)) {
-    return named;
+  if (std::optional<std::string> changeId = net::findHeader(answer.headers, changeHeader)) {
+    return changeId;
   }
   absl::StatusOr<picojson::value> const read = config::parseJson(answer.body);
   if (!read.ok() || !read->is<picojson::object>() || !read->contains("change") ||
@@ -249,12 +249,12 @@
   return read->get("change").get<std::string>();
 }
 
-net::Answer answerOf(ConfigurationRead const& back) {
+net::Answer answerOf(ConfigurationRead const& read) {
   net::Answer answer;
   answer.headers = {{"content-type", "application/json"},
-                    {versionHeader, back.version.text()},
-                    {revisionHeader, std::to_string(back.revision)}};
-  answer.body = back.document.empty() ? "{}" : back.document;
+                    {versionHeader, read.version.text()},
+                    {revisionHeader, std::to_string(read.revision)}};
+  answer.body = read.document.empty() ? "{}" : read.document;
   return answer;
 }
 
@@ -264,11 +264,11 @@
     answer.headers = net::withoutHopByHop(answer.headers);
     return answer;
   }
-  OrderOutcome decided;
-  decided.verdict = exchange.verdict == retry::Verdict::notRun ? OrderStatus::notRun : OrderStatus::unknown;
-  decided.reason =
+  OrderOutcome outcome;
+  outcome.verdict = exchange.verdict == retry::Verdict::notRun ? OrderStatus::notRun : OrderStatus::unknown;
+  outcome.reason =
       exchange.verdict == retry::Verdict::notRun ? "the primary cannot be reached" : "the primary did not answer";
-  return answerOf(decided, change);
+  return answerOf(outcome, change);
 }
 
 }  // namespace limeramp::control
--- a/libs/control/src/operator_calls.cpp
+++ b/libs/control/src/operator_calls.cpp
@@ -1,4 +1,4 @@
-// Calls under /limeramp: operators', peers', and those of whoever watches this controller.
+// Dispatches the HTTP calls under /limeramp: those of operators, of peers and of monitoring.
 #include "control_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -29,8 +29,8 @@
   } else if (target == "/limeramp/status" && method == "GET") {
     inbound.respond(statusPage());
   } else if (target == "/limeramp/drain" && method == "POST") {
-    DrainRequested asked;
-    on(asked);
+    DrainRequested drainRequested;
+    on(drainRequested);
     inbound.respond(plain(200, "{\"draining\":true}"));
   } else {
     inbound.respond(plain(404, "{\"reason\":\"no such page\"}"));
@@ -56,8 +56,8 @@
     return;
   }
   std::variant<TimePoint, net::Answer> deadline = readDeadline(inbound.content, inbound.arrivedAt);
-  if (net::Answer* const wrong = std::get_if<net::Answer>(&deadline)) {
-    inbound.respond(std::move(*wrong));
+  if (net::Answer* const errorAnswer = std::get_if<net::Answer>(&deadline)) {
+    inbound.respond(std::move(*errorAnswer));
     return;
   }
   std::uint64_t const ticket = ++lastTicket;
@@ -71,34 +71,34 @@
     return;
   }
   std::variant<Change, net::Answer> read = readChange(inbound.content, inbound.arrivedAt);
-  if (net::Answer* const wrong = std::get_if<net::Answer>(&read)) {
-    inbound.respond(std::move(*wrong));
+  if (net::Answer* const errorAnswer = std::get_if<net::Answer>(&read)) {
+    inbound.respond(std::move(*errorAnswer));
     return;
   }
-  Change& wanted = std::get<Change>(read);
-  wanted.ticket = ++lastTicket;
+  Change& change = std::get<Change>(read);
+  change.ticket = ++lastTicket;
   std::uint64_t const callerToken = needsCaller(inbound.content) ? inbound.content.token : 0;
-  waitingCalls.emplace(wanted.ticket, WaitingCall{std::move(inbound.respond), wanted.id, callerToken});
-  stepService(wanted);
+  waitingCalls.emplace(change.ticket, WaitingCall{std::move(inbound.respond), change.id, callerToken});
+  stepService(change);
 }
 
 void ControlServer::Impl::removeNodes(Incoming& inbound) {
   std::variant<Change, net::Answer> read = readChange(inbound.content, inbound.arrivedAt);
   std::variant<std::vector<std::string>, net::Answer> nodes = readRemoveNodes(inbound.content.body);
-  for (net::Answer* const wrong : {std::get_if<net::Answer>(&read), std::get_if<net::Answer>(&nodes)}) {
-    if (wrong != nullptr) {
-      inbound.respond(std::move(*wrong));
+  for (net::Answer* const errorAnswer : {std::get_if<net::Answer>(&read), std::get_if<net::Answer>(&nodes)}) {
+    if (errorAnswer != nullptr) {
+      inbound.respond(std::move(*errorAnswer));
       return;
     }
   }
-  Change const& wanted = std::get<Change>(read);
+  Change const& change = std::get<Change>(read);
   if (!service.active()) {
     relayCall(inbound);
     return;
   }
   std::uint64_t const ticket = ++lastTicket;
-  waitingCalls.emplace(ticket, WaitingCall{std::move(inbound.respond), wanted.id, inbound.content.token});
-  stepService(RemoveNodes{ticket, std::get<std::vector<std::string>>(nodes), wanted.deadline});
+  waitingCalls.emplace(ticket, WaitingCall{std::move(inbound.respond), change.id, inbound.content.token});
+  stepService(RemoveNodes{ticket, std::get<std::vector<std::string>>(nodes), change.deadline});
 }
 
 }  // namespace limeramp::control
--- a/libs/control/src/operator_protocol_adapter.cpp
+++ b/libs/control/src/operator_protocol_adapter.cpp
@@ -4,24 +4,23 @@
 
 namespace limeramp::control {
 
-bool mayBeOrder(net::Request const& asked) { return asked.method != "GET" && asked.method != "HEAD"; }
+bool mayBeOrder(net::Request const& original) { return original.method != "GET" && original.method != "HEAD"; }
 
-void serveOperator(OperatorProtocolAdapter const& adapter, net::Request asked, net::Responder respond,
-                   OperatorHandler const& own) {
-  std::optional<net::Request> request = adapter.toNative ? adapter.toNative(asked) : asked;
-  if (!request) {
+void serveOperator(OperatorProtocolAdapter const& adapter, net::Request original, net::Responder respond,
+                   OperatorHandler const& serveNative) {
+  std::optional<net::Request> native = adapter.toNative ? adapter.toNative(original) : original;
+  if (!native) {
     respond(plain(404, "{\"reason\":\"no such page\"}"));
     return;
   }
-  if (!net::findHeader(request->headers, deadlineHeader)) {
-    request->headers.emplace_back(deadlineHeader, std::to_string(operatorWaitMs.count()));
+  if (!net::findHeader(native->headers, deadlineHeader)) {
+    native->headers.emplace_back(deadlineHeader, std::to_string(defaultOperatorDeadlineMs.count()));
   }
   if (adapter.fromNative) {
-    respond = [translate = adapter.fromNative, asked = std::move(asked), to = std::move(respond)](net::Answer answer) {
-      to(translate(asked, std::move(answer)));
-    };
+    respond = [translate = adapter.fromNative, original = std::move(original), respondOriginal = std::move(respond)](
+                  net::Answer answer) { respondOriginal(translate(original, std::move(answer))); };
   }
-  own(*std::move(request), std::move(respond));
+  serveNative(*std::move(native), std::move(respond));
 }
 
 }  // namespace limeramp::control
--- a/libs/control/src/order_forwarder.cpp
+++ b/libs/control/src/order_forwarder.cpp
@@ -10,14 +10,17 @@
 
 using Ms = std::chrono::milliseconds;
 
+/// Marks a forwarded call. A node that is not the primary answers it instead of forwarding it again.
 constexpr char const* relayedHeader = "limeramp-relayed";
 
-struct Job {
+/// A call from its arrival to its answer.
+struct ForwardedCall {
   net::Request content;
-  std::string change;
+  /// The id of the order; empty for a read.
+  std::string changeId;
   net::Responder respond;
-  bool reads = false;
-  /// Of a request that needs its caller; 0 for others.
+  bool isRead = false;
+  /// Token of a request that must not outlive its caller (`needsCaller`); 0 for all others.
   std::uint64_t callerToken = 0;
 };
 
@@ -27,14 +30,14 @@
 }
 
 RelayOutcome outcomeOfChange(net::Answer const& answer, std::string const& change) {
-  std::optional<std::string> const named = decidedChange(answer);
-  if (answer.status == 503 && named.value_or(change) == change) {
+  std::optional<std::string> const decidedId = decidedChange(answer);
+  if (answer.status == 503 && decidedId.value_or(change) == change) {
     return RelayOutcome::notRun;
   }
-  return named == change ? RelayOutcome::final : RelayOutcome::mayHaveRun;
+  return decidedId == change ? RelayOutcome::final : RelayOutcome::mayHaveRun;
 }
 
-RelayOutcome outcomeOf(net::Exchange const& exchange, Job const& job) {
+RelayOutcome outcomeOf(net::Exchange const& exchange, ForwardedCall const& call) {
   if (!exchange.answer || exchange.answer->endedByClose) {
     return exchange.verdict == retry::Verdict::notRun ? RelayOutcome::notRun : RelayOutcome::mayHaveRun;
   }
@@ -42,10 +45,10 @@
   if (answer.status == 504) {
     return RelayOutcome::mayHaveRun;
   }
-  if (job.reads) {
+  if (call.isRead) {
     return answer.status == 503 ? RelayOutcome::notRun : outcomeOfRead(answer);
   }
-  return outcomeOfChange(answer, job.change);
+  return outcomeOfChange(answer, call.changeId);
 }
 
 }  // namespace
@@ -60,39 +63,39 @@
   Relay relay;
   std::string primary;
   std::uint64_t lastTicket = 0;
-  std::unordered_map<std::uint64_t, Job> jobs;
+  std::unordered_map<std::uint64_t, ForwardedCall> calls;
 
   void finish(std::uint64_t ticket, net::Answer answer) {
-    std::unordered_map<std::uint64_t, Job>::iterator const found = jobs.find(ticket);
+    std::unordered_map<std::uint64_t, ForwardedCall>::iterator const found = calls.find(ticket);
     found->second.respond(std::move(answer));
-    jobs.erase(found);
+    calls.erase(found);
   }
 
-  void drive(TimePoint now, RelayEvent const& event, net::Exchange const* exchange = nullptr) {
+  void stepRelay(TimePoint now, RelayEvent const& event, net::Exchange const* exchange = nullptr) {
     for (RelayEffect const& effect : relay.step(now, event)) {
       if (RelaySend const* const send = std::get_if<RelaySend>(&effect)) {
-        begin(now, *send);
+        sendAttempt(now, *send);
       } else if (RelayCancel const* const cancel = std::get_if<RelayCancel>(&effect)) {
         client.cancel(cancel->attempt);
       } else if (RelayDone const* const done = std::get_if<RelayDone>(&effect)) {
-        finish(done->ticket, relayAnswer(*exchange, jobs.at(done->ticket).change));
-      } else if (OrderOutcome const* const decided = std::get_if<OrderOutcome>(&effect)) {
-        OrderOutcome said = *decided;
-        said.verdict = jobs.at(said.ticket).reads ? OrderStatus::notRun : said.verdict;
-        finish(said.ticket, answerOf(said, jobs.at(said.ticket).change));
+        finish(done->ticket, relayAnswer(*exchange, calls.at(done->ticket).changeId));
+      } else if (OrderOutcome const* const failed = std::get_if<OrderOutcome>(&effect)) {
+        OrderOutcome outcome = *failed;
+        outcome.verdict = calls.at(outcome.ticket).isRead ? OrderStatus::notRun : outcome.verdict;
+        finish(outcome.ticket, answerOf(outcome, calls.at(outcome.ticket).changeId));
       }
     }
   }
 
-  void begin(TimePoint now, RelaySend const& send) {
-    net::Request request = jobs.at(send.ticket).content;
-    long const leftMs = std::chrono::duration_cast<Ms>(send.deadline - now).count();
-    request.headers.emplace_back(deadlineHeader, std::to_string(std::max<long>(1, leftMs)));
+  void sendAttempt(TimePoint now, RelaySend const& send) {
+    net::Request request = calls.at(send.ticket).content;
+    long const remainingMs = std::chrono::duration_cast<Ms>(send.deadline - now).count();
+    request.headers.emplace_back(deadlineHeader, std::to_string(std::max<long>(1, remainingMs)));
     std::uint64_t const ticket = send.ticket;
     std::uint64_t const attempt = send.attempt;
     client.begin(attempt, net::Address::parse(send.address).value_or(net::Address{}), std::move(request), send.deadline,
-                 [to = post, ticket, attempt](net::Exchange exchange) {
-                   to({ticket, attempt, std::move(exchange)});
+                 [report = post, ticket, attempt](net::Exchange exchange) {
+                   report({ticket, attempt, std::move(exchange)});
                  });
   }
 };
@@ -104,17 +107,17 @@
 OrderForwarder::~OrderForwarder() = default;
 
 void OrderForwarder::take(TimePoint now, TimePoint arrivedAt, net::Request content, net::Responder respond) {
-  bool const reads = operatorCallOf(content) == OperatorCall::read;
-  std::variant<Change, net::Answer> change = reads ? Change{} : readChange(content, arrivedAt);
+  bool const isRead = operatorCallOf(content) == OperatorCall::read;
+  std::variant<Change, net::Answer> change = isRead ? Change{} : readChange(content, arrivedAt);
   std::variant<TimePoint, net::Answer> deadline = readDeadline(content, arrivedAt);
   std::variant<std::vector<std::string>, net::Answer> nodes;
   if (operatorCallOf(content) == OperatorCall::removeNodes) {
     nodes = readRemoveNodes(content.body);
   }
-  for (net::Answer* const wrong :
+  for (net::Answer* const errorAnswer :
        {std::get_if<net::Answer>(&change), std::get_if<net::Answer>(&deadline), std::get_if<net::Answer>(&nodes)}) {
-    if (wrong != nullptr) {
-      respond(std::move(*wrong));
+    if (errorAnswer != nullptr) {
+      respond(std::move(*errorAnswer));
       return;
     }
   }
@@ -127,7 +130,7 @@
   for (char const* const name : {changeHeader, deadlineHeader, "host"}) {
     net::dropHeader(content.headers, name);
   }
-  if (!reads) {
+  if (!isRead) {
     content.headers.emplace_back(changeHeader, id);
     content.identity = {changeHeader, changeHeader, false};
   }
@@ -135,33 +138,33 @@
   content.headers.emplace_back("limeramp-from", impl_->advertise);
   std::uint64_t const ticket = ++impl_->lastTicket;
   std::uint64_t const callerToken = needsCaller(content) ? content.token : 0;
-  impl_->jobs.emplace(ticket, Job{std::move(content), id, std::move(respond), reads, callerToken});
-  impl_->drive(now, RelayRequested{ticket, std::get<TimePoint>(deadline)});
+  impl_->calls.emplace(ticket, ForwardedCall{std::move(content), id, std::move(respond), isRead, callerToken});
+  impl_->stepRelay(now, RelayRequested{ticket, std::get<TimePoint>(deadline)});
 }
 
-void OrderForwarder::onFinished(TimePoint now, ForwardFinished& back) {
-  std::unordered_map<std::uint64_t, Job>::const_iterator const job = impl_->jobs.find(back.ticket);
-  if (job != impl_->jobs.end()) {
-    RelayOutcome const outcome = outcomeOf(back.exchange, job->second);
-    impl_->drive(now, RelayAttemptFinished{back.ticket, back.attempt, outcome}, &back.exchange);
+void OrderForwarder::onFinished(TimePoint now, ForwardFinished& finished) {
+  std::unordered_map<std::uint64_t, ForwardedCall>::const_iterator const call = impl_->calls.find(finished.ticket);
+  if (call != impl_->calls.end()) {
+    RelayOutcome const outcome = outcomeOf(finished.exchange, call->second);
+    impl_->stepRelay(now, RelayAttemptFinished{finished.ticket, finished.attempt, outcome}, &finished.exchange);
   }
 }
 
 void OrderForwarder::onCallerLeft(TimePoint now, std::uint64_t requestToken) {
-  std::unordered_map<std::uint64_t, Job>::const_iterator const found =
-      std::find_if(impl_->jobs.begin(), impl_->jobs.end(),
+  std::unordered_map<std::uint64_t, ForwardedCall>::const_iterator const found =
+      std::find_if(impl_->calls.begin(), impl_->calls.end(),
                    [&](auto const& entry) { return requestToken != 0 && entry.second.callerToken == requestToken; });
-  if (found != impl_->jobs.end()) {
-    impl_->drive(now, CallerLeft{found->first});
+  if (found != impl_->calls.end()) {
+    impl_->stepRelay(now, CallerLeft{found->first});
   }
 }
 
 void OrderForwarder::tick(TimePoint now, std::string const& primaryAddress) {
   if (primaryAddress != impl_->primary) {
     impl_->primary = primaryAddress;
-    impl_->drive(now, RelayPrimary{primaryAddress});
+    impl_->stepRelay(now, RelayPrimary{primaryAddress});
   }
-  impl_->drive(now, Tick{});
+  impl_->stepRelay(now, Tick{});
 }
 
 }  // namespace limeramp::control
--- a/libs/control/src/relay.cpp
+++ b/libs/control/src/relay.cpp
@@ -5,11 +5,16 @@
 namespace limeramp::control {
 namespace {
 
-struct Entry {
+/// An order that is not decided yet.
+struct RelayedOrder {
   TimePoint deadline;
-  TimePoint nextAt{};
+  /// The next attempt at the same primary starts no earlier.
+  TimePoint retryAt{};
+  /// The primary that the last attempt was sent to.
   std::string primary;
+  /// The attempt in flight; 0 for none.
   std::uint64_t attempt = 0;
+  /// Whether any attempt so far may have run.
   bool mayHaveRun = false;
 };
 
@@ -19,85 +24,87 @@
   RelayOptions options;
   std::uint64_t lastAttempt = 0;
   std::string primary;
-  std::map<std::uint64_t, Entry> entries;
+  std::map<std::uint64_t, RelayedOrder> orders;
   std::vector<RelayEffect> effects;
   TimePoint now{};
 
   void on(RelayRequested const& event) {
-    if (entries.size() >= options.maxRelays) {
+    if (orders.size() >= options.maxRelays) {
       effects.emplace_back(OrderOutcome{event.ticket, OrderStatus::notRun, {}, {}, "too many changes wait"});
       return;
     }
-    entries.emplace(event.ticket, Entry{event.deadline, now, "", 0, false});
-    push();
+    orders.emplace(event.ticket, RelayedOrder{event.deadline, now, "", 0, false});
+    sendAndExpire();
   }
 
   void on(RelayPrimary const& event) {
     primary = event.address;
-    push();
+    sendAndExpire();
   }
 
   void on(RelayAttemptFinished const& event) {
-    std::map<std::uint64_t, Entry>::iterator const found = entries.find(event.ticket);
-    if (found == entries.end() || found->second.attempt != event.attempt) {
+    std::map<std::uint64_t, RelayedOrder>::iterator const found = orders.find(event.ticket);
+    if (found == orders.end() || found->second.attempt != event.attempt) {
       return;
     }
     if (event.outcome == RelayOutcome::final) {
       effects.emplace_back(RelayDone{event.ticket});
-      entries.erase(found);
+      orders.erase(found);
       return;
     }
-    Entry& entry = found->second;
-    entry.attempt = 0;
-    entry.nextAt = now + options.againMs;
-    entry.mayHaveRun = entry.mayHaveRun || event.outcome == RelayOutcome::mayHaveRun;
+    RelayedOrder& order = found->second;
+    order.attempt = 0;
+    order.retryAt = now + options.retryDelayMs;
+    order.mayHaveRun = order.mayHaveRun || event.outcome == RelayOutcome::mayHaveRun;
   }
 
   void on(CallerLeft const& event) {
-    std::map<std::uint64_t, Entry>::iterator const found = entries.find(event.ticket);
-    if (found == entries.end()) {
+    std::map<std::uint64_t, RelayedOrder>::iterator const found = orders.find(event.ticket);
+    if (found == orders.end()) {
       return;
     }
     cancelAttempt(found->second);
     OrderStatus const status = found->second.mayHaveRun ? OrderStatus::unknown : OrderStatus::notRun;
     effects.emplace_back(OrderOutcome{event.ticket, status, {}, {}, callerLeftReason});
-    entries.erase(found);
+    orders.erase(found);
   }
 
-  void on(Tick const&) { push(); }
+  void on(Tick const&) { sendAndExpire(); }
 
-  void cancelAttempt(Entry& entry) {
-    if (entry.attempt != 0) {
-      effects.emplace_back(RelayCancel{entry.attempt});
-      entry.mayHaveRun = true;
+  /// A cancelled attempt may have run already.
+  void cancelAttempt(RelayedOrder& order) {
+    if (order.attempt != 0) {
+      effects.emplace_back(RelayCancel{order.attempt});
+      order.mayHaveRun = true;
     }
   }
 
-  void push() {
-    for (std::map<std::uint64_t, Entry>::iterator row = entries.begin(); row != entries.end();) {
-      Entry& entry = row->second;
-      bool const open = entry.attempt != 0;
-      bool const ended = now >= entry.deadline;
-      bool const waits = open ? entry.primary == primary : entry.primary == primary && now < entry.nextAt;
-      if (ended || !(waits || primary.empty())) {
-        cancelAttempt(entry);
+  /// Ends expired orders, and sends an attempt for each order that is due or whose primary has changed.
+  void sendAndExpire() {
+    for (std::map<std::uint64_t, RelayedOrder>::iterator position = orders.begin(); position != orders.end();) {
+      RelayedOrder& order = position->second;
+      bool const inFlight = order.attempt != 0;
+      bool const expired = now >= order.deadline;
+      bool const keepWaiting = inFlight ? order.primary == primary : order.primary == primary && now < order.retryAt;
+      if (expired || !(keepWaiting || primary.empty())) {
+        cancelAttempt(order);
       }
-      if (ended) {
+      if (expired) {
         effects.emplace_back(
-            OrderOutcome{row->first,
-                         entry.mayHaveRun ? OrderStatus::unknown : OrderStatus::notRun,
+            OrderOutcome{position->first,
+                         order.mayHaveRun ? OrderStatus::unknown : OrderStatus::notRun,
                          {},
                          {},
                          primary.empty() ? "no primary is known here" : "the primary gave no answer in time"});
-        row = entries.erase(row);
+        position = orders.erase(position);
         continue;
       }
-      if (!waits && !primary.empty()) {
-        entry.primary = primary;
-        entry.attempt = ++lastAttempt;
-        effects.emplace_back(RelaySend{row->first, entry.attempt, primary, entry.deadline});
+      if (!keepWaiting && !primary.empty()) {
+        order.primary = primary;
+        order.attempt = ++lastAttempt;
+        effects.emplace_back(RelaySend{position->first, order.attempt, primary, order.deadline});
       }
-      ++row;
+      ++position;
     }
   }
 };
--- a/libs/control/src/state_machines.cpp
+++ b/libs/control/src/state_machines.cpp
@@ -1,4 +1,4 @@
-// Feeds the replication group and the configuration service, and carries their effects out.
+// Steps the replication group and the configuration service, and executes their effects.
 #include "control_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -7,7 +7,7 @@
 namespace limeramp::control {
 namespace {
 
-/// Nodes hold no receipts: those of this replica's own state are the best that is left after a total loss.
+/// Nodes hold no receipts. After the loss of all replicas, those in this replica's own state are the best copy left.
 messages::State withReceipts(messages::State state, messages::State const& own) {
   state.receipts = own.receipts;
   state.forgottenEpoch = own.forgottenEpoch;
@@ -16,8 +16,9 @@
   return state;
 }
 
-constexpr std::uint64_t probeAttempts = 1ULL << 61;
-constexpr Ms probeWaitMs{500};
+/// Offset of the probes' attempt ids, which keeps them apart from the forwarder's in the shared HTTP client.
+constexpr std::uint64_t firstProbeAttempt = 1ULL << 61;
+constexpr Ms probeTimeoutMs{500};
 
 }  // namespace
 
@@ -27,15 +28,16 @@
       peerLink.send(group.decided().fleet, outgoing->address, outgoing->message);
     } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
       this->persist(*persist);
-    } else if (replication::LogEntry const* const recordReport = std::get_if<replication::LogEntry>(&effect)) {
-      logging::raise(recordReport->event, {{"about", recordReport->about}});
+    } else if (replication::LogEntry const* const logEntry = std::get_if<replication::LogEntry>(&effect)) {
+      logging::raise(logEntry->event, {{"about", logEntry->about}});
     } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
       stepService(*committed);
     } else if (replication::OutcomeUnknown const* const outcomeUnknown =
                    std::get_if<replication::OutcomeUnknown>(&effect)) {
       stepService(*outcomeUnknown);
-    } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
-      stepService(*active);
+    } else if (replication::BecamePrimary const* const becamePrimary =
+                   std::get_if<replication::BecamePrimary>(&effect)) {
+      stepService(*becamePrimary);
     } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
       stepService(replication::SteppedDown{});
     } else if (replication::NewGroupForced const* const newGroupForced =
@@ -49,18 +51,18 @@
   for (ConfigServiceEffect const& effect : service.step(Clock::now(), group, event)) {
     if (replication::Proposal const* const proposal = std::get_if<replication::Proposal>(&effect)) {
       stepGroup(*proposal);
-    } else if (OrderOutcome const* const decided = std::get_if<OrderOutcome>(&effect)) {
-      apply(*decided);
-    } else if (ConfigurationRead const* const back = std::get_if<ConfigurationRead>(&effect)) {
-      reply(back->ticket, answerOf(*back));
-    } else if (EvaluateOrder const* const evaluated = std::get_if<EvaluateOrder>(&effect)) {
-      evaluations.evaluate(*evaluated);
-    } else if (Probe const* const wanted = std::get_if<Probe>(&effect)) {
-      probe(*wanted);
+    } else if (OrderOutcome const* const outcome = std::get_if<OrderOutcome>(&effect)) {
+      apply(*outcome);
+    } else if (ConfigurationRead const* const read = std::get_if<ConfigurationRead>(&effect)) {
+      reply(read->ticket, answerOf(*read));
+    } else if (EvaluateOrder const* const order = std::get_if<EvaluateOrder>(&effect)) {
+      evaluationThread.evaluate(*order);
+    } else if (Probe const* const probeRequest = std::get_if<Probe>(&effect)) {
+      probe(*probeRequest);
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
       peerLink.send(group.decided().fleet, outgoing->address, outgoing->message);
-    } else if (replication::LogEntry const* const recordReport = std::get_if<replication::LogEntry>(&effect)) {
-      logging::raise(recordReport->event, {{"about", recordReport->about}});
+    } else if (replication::LogEntry const* const logEntry = std::get_if<replication::LogEntry>(&effect)) {
+      logging::raise(logEntry->event, {{"about", logEntry->about}});
     }
   }
 }
@@ -69,16 +71,16 @@
   diskWriter.write({effect.token, effect.puts, effect.rewrite});
 }
 
-void ControlServer::Impl::apply(OrderOutcome const& decided) {
-  std::unordered_map<std::uint64_t, WaitingCall>::iterator const found = waitingCalls.find(decided.ticket);
+void ControlServer::Impl::apply(OrderOutcome const& outcome) {
+  std::unordered_map<std::uint64_t, WaitingCall>::iterator const found = waitingCalls.find(outcome.ticket);
   if (found == waitingCalls.end()) {
     return;
   }
-  std::string const change = found->second.change;
-  if (decided.verdict == OrderStatus::refused || decided.verdict == OrderStatus::conflict) {
-    logging::raise(logging::Event::configurationRefused, {{"change", change}});
+  std::string const changeId = found->second.changeId;
+  if (outcome.verdict == OrderStatus::refused || outcome.verdict == OrderStatus::conflict) {
+    logging::raise(logging::Event::configurationRefused, {{"change", changeId}});
   }
-  reply(decided.ticket, answerOf(decided, change));
+  reply(outcome.ticket, answerOf(outcome, changeId));
 }
 
 void ControlServer::Impl::reply(std::uint64_t ticket, net::Answer answer) {
@@ -95,8 +97,8 @@
   net::Request request;
   request.method = "GET";
   request.target = "/limeramp/ready";
-  client.begin(probeAttempts + token, net::Address::parse(effect.address).value_or(net::Address{}), std::move(request),
-               Clock::now() + probeWaitMs, [this, token, node](net::Exchange const& exchange) {
+  client.begin(firstProbeAttempt + token, net::Address::parse(effect.address).value_or(net::Address{}),
+               std::move(request), Clock::now() + probeTimeoutMs, [this, token, node](net::Exchange const& exchange) {
                  inboundMessages.push(ProbeFinished{token, provesGone(exchange, node)});
                });
 }
@@ -107,14 +109,16 @@
   if (!received) {
     return;
   }
-  fleetElsewhere = fleetElsewhere || (fleet.empty() && !received->fleet.empty());
+  foreignFleetSeen = foreignFleetSeen || (fleet.empty() && !received->fleet.empty());
   Clock::time_point const now = Clock::now();
   if (messages::Shuffle const* const shuffle = std::get_if<messages::Shuffle>(&received->message)) {
     peerLink.sendAll(group.decided().fleet, views.onMessage(now, received->from, received->address, *shuffle));
-  } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received->message)) {
-    stepService(StateRequestReceived{received->address, *poll});
+  } else if (messages::StateRequest const* const stateRequest =
+                 std::get_if<messages::StateRequest>(&received->message)) {
+    stepService(StateRequestReceived{received->address, *stateRequest});
   } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&received->message)) {
-    if (forcingNewGroup && received->address == forcingNewGroup->from && response->state && !received->fleet.empty()) {
+    if (forcingNewGroup && received->address == forcingNewGroup->sourceAddress && response->state &&
+        !received->fleet.empty()) {
       stepGroup(replication::ForceNewGroup{received->fleet, withReceipts(*response->state, group.state())});
     }
   } else {
--- a/libs/control/src/status_pages.cpp
+++ b/libs/control/src/status_pages.cpp
@@ -1,4 +1,4 @@
-// What this controller says about itself.
+// The status and readiness pages of a controller.
 #include "control_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -12,7 +12,7 @@
 
 std::string json(bool flag) { return flag ? "true" : "false"; }
 
-std::string json(std::optional<Ms> const& spanMs) { return spanMs ? std::to_string(spanMs->count()) : "null"; }
+std::string json(std::optional<Ms> const& elapsedMs) { return elapsedMs ? std::to_string(elapsedMs->count()) : "null"; }
 
 std::string witnessJson(std::string const& witness, std::optional<Ms> const& sinceReportMs, bool canVote) {
   return "{\"id\":" + json(witness) + ",\"heard_ms\":" + json(sinceReportMs) + ",\"can_vote\":" + json(canVote) + "}";
@@ -26,7 +26,7 @@
 }
 
 template <typename Element, typename Write>
-std::string listOf(std::vector<Element> const& elements, Write const& write) {
+std::string jsonList(std::vector<Element> const& elements, Write const& write) {
   std::string out;
   for (Element const& element : elements) {
     out += (out.empty() ? "" : ",") + write(element);
@@ -37,13 +37,13 @@
 }  // namespace
 
 net::Answer ControlServer::Impl::readinessPage() const {
-  bool const serving = !draining && !group.unhealthy() && group.decided().epoch > 0;
+  bool const ready = !draining && !group.unhealthy() && group.decided().epoch > 0;
   std::string const reason = draining                     ? "draining"
                              : group.unhealthy()          ? "disk"
                              : group.decided().epoch == 0 ? "not founded"
                                                           : "";
-  return plain(serving ? 200 : 503, "{\"ready\":" + std::string(serving ? "true" : "false") +
-                                        ",\"reason\":" + json(reason) + ",\"node\":" + json(settings.node) + "}");
+  return plain(ready ? 200 : 503, "{\"ready\":" + std::string(ready ? "true" : "false") +
+                                      ",\"reason\":" + json(reason) + ",\"node\":" + json(settings.node) + "}");
 }
 
 net::Answer ControlServer::Impl::statusPage() const {
@@ -55,7 +55,7 @@
                      ",\"zone\":" + json(settings.zone) + ",\"fleet\":" + json(decided.fleet) +
                      ",\"epoch\":" + std::to_string(decided.epoch) + ",\"primary\":" + json(decided.primary) +
                      ",\"primary_address\":" + json(group.primaryAddress()) + ",\"backups\":" + "[" +
-                     listOf(decided.backups, [](std::string const& backup) { return json(backup); }) + "]" +
+                     jsonList(decided.backups, [](std::string const& backup) { return json(backup); }) + "]" +
                      ",\"replica\":" + json(replica) + ",\"active\":" + json(group.active()) +
                      ",\"sealed\":" + std::to_string(group.fenced()) + ",\"ailing\":" + json(group.unhealthy()) +
                      ",\"disk\":" + json(std::string(replication::nameOf(group.diskCondition()))) +
@@ -63,12 +63,12 @@
                      ",\"state\":" + json(config::Version{state.epoch, state.sequence}.text()) + ",\"version\":" +
                      json(config::Version{state.configurationEpoch, state.configurationSequence}.text()) +
                      ",\"pending\":" + std::to_string(service.pending()) + ",\"witnesses\":[";
-  body += listOf(decided.witnesses, [&](std::string const& witness) {
+  body += jsonList(decided.witnesses, [&](std::string const& witness) {
     return witnessJson(witness, witness == id ? Ms(0) : group.sinceHeartbeatMs(now, witness),
                        group.canVote(now, witness));
   });
   body += "],\"nodes\":[";
-  body += listOf(service.active() ? service.nodes(now) : std::vector<NodeView>{}, nodeJson);
+  body += jsonList(service.active() ? service.nodes(now) : std::vector<NodeView>{}, nodeJson);
   return plain(200, body + "]}");
 }
 
