--- a/libs/control/src/control_server_impl.h
+++ b/libs/control/src/control_server_impl.h
@@ -102,13 +102,13 @@
   void on(ProbeFinished& inbound) { stepService(inbound); }
   void on(DrainRequested& inbound);
   void on(FollowSettings& inbound) { settingsFollower.follow(std::move(inbound.file)); }
-  void on(ReloadRequested&) { apply(settingsFollower.reload(Clock::now())); }
-  void apply(std::optional<config::SettingsUpdate> const& update);
+  void on(ReloadRequested&) { applySettings(settingsFollower.reload(Clock::now())); }
+  void applySettings(std::optional<config::SettingsUpdate> const& update);
 
   // Stepping the state machines and executing their effects: state_machines.cpp.
   void stepGroup(replication::GroupEvent const& event);
   void stepService(ConfigServiceEvent const& event);
-  void apply(OrderOutcome const& decided);
+  void answerOrder(OrderOutcome const& outcome);
   void persist(replication::Persist const& effect);
   void probe(Probe const& effect);
   void reply(std::uint64_t ticket, net::Answer answer);
--- a/libs/control/src/event_loop.cpp
+++ b/libs/control/src/event_loop.cpp
@@ -64,7 +64,7 @@
     shutdownChanged.notify_all();
   }
   forwarder.tick(now, group.decided().epoch == 0 ? "" : group.primaryAddress());
-  apply(settingsFollower.tick(now));
+  applySettings(settingsFollower.tick(now));
 }
 
 void ControlServer::Impl::on(DrainRequested&) {
@@ -74,7 +74,7 @@
   stepGroup(replication::BeginShutdown{});
 }
 
-void ControlServer::Impl::apply(std::optional<config::SettingsUpdate> const& update) {
+void ControlServer::Impl::applySettings(std::optional<config::SettingsUpdate> const& update) {
   if (!update) {
     return;
   }
--- a/libs/control/src/operator_api.cpp
+++ b/libs/control/src/operator_api.cpp
@@ -19,6 +19,7 @@
       400, "{\"outcome\":\"refused\",\"problems\":[{\"path\":" + json(path) + ",\"reason\":" + json(reason) + "}]}");
 }
 
+/// The value of the only field that the object may have, null if it is absent; or the answer to a malformed body.
 std::variant<picojson::value, net::Answer> readOneField(std::string const& body, std::string const& name) {
   absl::StatusOr<picojson::value> const read = config::parseJson(body);
   if (!read.ok()) {
@@ -60,6 +61,8 @@
   return read.ec == std::errc() && read.ptr == end;
 }
 
+/// An idempotency key derived from the method and the body of an order, and from its base, or its target if it has
+/// none.
 std::string derivedId(net::Request const& request, std::string const& base) {
   std::string content;
   for (std::string const* const field : {&request.method, &base, &request.body}) {
--- a/libs/control/src/state_machines.cpp
+++ b/libs/control/src/state_machines.cpp
@@ -52,7 +52,7 @@
     if (replication::Proposal const* const proposal = std::get_if<replication::Proposal>(&effect)) {
       stepGroup(*proposal);
     } else if (OrderOutcome const* const outcome = std::get_if<OrderOutcome>(&effect)) {
-      apply(*outcome);
+      answerOrder(*outcome);
     } else if (ConfigurationRead const* const read = std::get_if<ConfigurationRead>(&effect)) {
       reply(read->ticket, answerOf(*read));
     } else if (EvaluateOrder const* const order = std::get_if<EvaluateOrder>(&effect)) {
@@ -71,7 +71,7 @@
   diskWriter.write({effect.token, effect.puts, effect.rewrite});
 }
 
-void ControlServer::Impl::apply(OrderOutcome const& outcome) {
+void ControlServer::Impl::answerOrder(OrderOutcome const& outcome) {
   std::unordered_map<std::uint64_t, WaitingCall>::iterator const found = waitingCalls.find(outcome.ticket);
   if (found == waitingCalls.end()) {
     return;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -322,8 +322,8 @@
           roster.push_back(gateway);
         }
         fleet.applyLoad(200, Ms(6000), {"p0"}, 1, Ms(400));
-        std::size_t const calm = fleet.services["p0"]["p0-0"].arrivals.size();
-        least = std::min(least, calm);
+        std::size_t const beforeChurn = fleet.services["p0"]["p0-0"].arrivals.size();
+        least = std::min(least, beforeChurn);
         for (int round = 0; round < 14; ++round) {
           std::size_t const gateway = fleet.network.roll(gateways);
           std::vector<std::size_t>::iterator const place = std::find(roster.begin(), roster.end(), gateway);
@@ -436,7 +436,7 @@
 };
 
 /// Least, median and greatest value.
-std::string spreadOf(std::vector<double> values) {
+std::string leastMedianGreatest(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   char text[64];
   std::snprintf(text, sizeof text, "%.1f / %.1f / %.1f", values.front(), values[values.size() / 2], values.back());
@@ -513,8 +513,8 @@
       HedgingMeasurement const row = measureHedging(fault, options, seeds);
       std::printf(
           "%-10s %-19s p50 %s ms, p99 %s ms, extra %s %% of arrivals, losers %s %% of extra, shards missing %zu\n",
-          fault.c_str(), hedging.c_str(), spreadOf(row.p50).c_str(), spreadOf(row.p99).c_str(),
-          spreadOf(row.extraShare).c_str(), spreadOf(row.supersededShare).c_str(), row.missing);
+          fault.c_str(), hedging.c_str(), leastMedianGreatest(row.p50).c_str(), leastMedianGreatest(row.p99).c_str(),
+          leastMedianGreatest(row.extraShare).c_str(), leastMedianGreatest(row.supersededShare).c_str(), row.missing);
       table[fault][hedging] = row;
     }
   }
--- a/tests/worth_test.cpp
+++ b/tests/worth_test.cpp
@@ -58,7 +58,7 @@
   Ms targetMs{0};
   Ms deadlineMs{0};
   /// Value of an answer from all shards within the target, and the share of it that a later answer still earns.
-  double worth = 1;
+  double value = 1;
   double lateShare = 1;
   std::size_t priority = 0;
   std::size_t maxAttempts = 2;
@@ -103,7 +103,7 @@
   std::map<std::pair<std::size_t, std::uint64_t>, std::string> serverOfAttempt;
   std::map<std::uint64_t, Tally> seconds;
   std::map<std::string, Tally> byKind;
-  Tally all;
+  Tally total;
   /// By service: the time of each attempt, and whether it was the first for its shard of a request.
   std::map<std::string, std::vector<std::pair<TimePoint, bool>>> arrivals;
   /// Requests that are not idempotent and were sent to a server that has not declined them.
@@ -111,7 +111,7 @@
   std::uint64_t lastRequest = 0;
   std::uint64_t lastJob = 0;
   std::size_t attempts = 0;
-  std::size_t remote = 0;
+  std::size_t remoteAttempts = 0;
   std::size_t ranTwice = 0;
   std::size_t cancelledAttempts = 0;
 
@@ -206,7 +206,7 @@
     arrivals[server.service].emplace_back(network.now(), first);
     server.arrivals.push_back(network.now());
     ++attempts;
-    remote += server.zone != zoneOf(gateway) ? 1 : 0;
+    remoteAttempts += server.zone != zoneOf(gateway) ? 1 : 0;
     if (!kind.idempotent && !begun.emplace(gateway, send.request).second) {
       ++ranTwice;
     }
@@ -314,11 +314,11 @@
     double const shardCount = static_cast<double>(kind.services.size());
     double const share = (shardCount - static_cast<double>(finish.missing.size())) / shardCount;
     bool const inTime = network.now() - at->second.at <= kind.targetMs;
-    double const earnedValue = good ? kind.worth * share * share * (inTime ? 1 : kind.lateShare) : 0;
+    double const earnedValue = good ? kind.value * share * share * (inTime ? 1 : kind.lateShare) : 0;
     std::uint64_t const second = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::seconds>(at->second.at - TimePoint(std::chrono::hours(1))).count());
-    for (Tally* const tally : {&all, &seconds[second], &byKind[kind.name]}) {
-      tally->offeredValue += kind.worth;
+    for (Tally* const tally : {&total, &seconds[second], &byKind[kind.name]}) {
+      tally->offeredValue += kind.value;
       tally->earnedValue += earnedValue;
       ++tally->requests;
       tally->inTime += good && inTime ? 1 : 0;
@@ -359,9 +359,9 @@
   }
 
   /// Share of the offered value that the answers earned.
-  double worth() const { return all.earnedValue / all.offeredValue; }
+  double earnedShare() const { return total.earnedValue / total.offeredValue; }
   double remoteShare() const {
-    return static_cast<double>(remote) / static_cast<double>(std::max<std::size_t>(1, attempts));
+    return static_cast<double>(remoteAttempts) / static_cast<double>(std::max<std::size_t>(1, attempts));
   }
 
   /// The most attempts beyond the first ones at a service in any interval, minus a fifth of the first attempts in it.
@@ -419,10 +419,10 @@
 
 /// What a scenario measured: means, worst values and sums over its seeds.
 struct ScenarioResult {
-  double worth = 0;
-  double least = 1;
-  double remote = 0;
-  double extra = 0;
+  double earnedShare = 0;
+  double leastEarnedShare = 1;
+  double remoteShare = 0;
+  double extraAttempts = 0;
   std::size_t ranTwice = 0;
   std::size_t late = 0;
   double worstSecond = 1;
@@ -431,7 +431,7 @@
 /// Runs a steady load, injects the fault, and measures until the requests have ended.
 ScenarioResult runScenario(std::string const& fault, bool expensive, DispatchOptions const& options,
                            std::uint64_t seeds) {
-  ScenarioResult outcome;
+  ScenarioResult result;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SimulatedSite site(seed * 7919, expensive ? 3 : 4, expensive ? 10 : 11, options);
     addServersAndKinds(site, expensive, Ms(40 + static_cast<long>(site.network.roll(150))));
@@ -470,17 +470,17 @@
     }
     site.applyLoad(Ms(8000), fault == "overload" ? 2.5 : 1);
     site.network.runUntil(site.network.now() + Ms(6000));
-    outcome.worth += site.worth() / static_cast<double>(seeds);
-    outcome.least = std::min(outcome.least, site.worth());
-    outcome.remote += site.remoteShare() / static_cast<double>(seeds);
-    outcome.extra = std::max(outcome.extra, site.maxExtraAttempts());
-    outcome.ranTwice += site.ranTwice;
-    outcome.late += site.all.late;
+    result.earnedShare += site.earnedShare() / static_cast<double>(seeds);
+    result.leastEarnedShare = std::min(result.leastEarnedShare, site.earnedShare());
+    result.remoteShare += site.remoteShare() / static_cast<double>(seeds);
+    result.extraAttempts = std::max(result.extraAttempts, site.maxExtraAttempts());
+    result.ranTwice += site.ranTwice;
+    result.late += site.total.late;
     for (std::pair<std::uint64_t const, Tally> const& second : site.seconds) {
       if (second.second.requests < 100) {
         continue;
       }
-      outcome.worstSecond = std::min(outcome.worstSecond, second.second.earnedValue / second.second.offeredValue);
+      result.worstSecond = std::min(result.worstSecond, second.second.earnedValue / second.second.offeredValue);
     }
     if (std::getenv("LIMERAMP_SECONDS") != nullptr) {
       for (std::pair<std::uint64_t const, Tally> const& second : site.seconds) {
@@ -491,7 +491,7 @@
       }
     }
   }
-  return outcome;
+  return result;
 }
 
 TEST(RequestValue, StaysAboveItsBoundWithPausedDownSlowAndFailingServersAndOverload) {
@@ -501,16 +501,17 @@
                                             {"overload", 0.9}};
   for (bool const expensive : {false, true}) {
     for (std::pair<std::string const, double> const& row : least) {
-      ScenarioResult const outcome = runScenario(row.first, expensive, DispatchOptions{}, seeds);
+      ScenarioResult const result = runScenario(row.first, expensive, DispatchOptions{}, seeds);
       std::printf(
           "%s %-16s seeds 1 to %llu: worth %.4f, least %.4f, worst second %.3f, late %zu, remote %.3f, extras above a "
           "fifth %.1f\n",
           expensive ? "three zones" : "four zones ", row.first.c_str(), static_cast<unsigned long long>(seeds),
-          outcome.worth, outcome.least, outcome.worstSecond, outcome.late, outcome.remote, outcome.extra);
-      EXPECT_GT(outcome.least, row.second) << row.first;
-      EXPECT_EQ(outcome.ranTwice, 0u) << row.first;
-      EXPECT_LT(row.first == "calm" ? outcome.remote : 0, 0.2);
-      EXPECT_LE(outcome.extra, 60.0) << row.first;
+          result.earnedShare, result.leastEarnedShare, result.worstSecond, result.late, result.remoteShare,
+          result.extraAttempts);
+      EXPECT_GT(result.leastEarnedShare, row.second) << row.first;
+      EXPECT_EQ(result.ranTwice, 0u) << row.first;
+      EXPECT_LT(row.first == "calm" ? result.remoteShare : 0, 0.2);
+      EXPECT_LE(result.extraAttempts, 60.0) << row.first;
     }
   }
 }
