--- a/libs/retry/include/limeramp/retry/attempt_log.h
+++ b/libs/retry/include/limeramp/retry/attempt_log.h
@@ -7,16 +7,16 @@
 #include <cstdint>
 #include <vector>
 
-/// What has been tried for one subrequest; from it follows what may be tried next.
+/// The attempts of one subrequest, and whether another one is allowed.
 namespace limeramp::retry {
 
-/// The steady clock of this machine.
+/// A time of this machine's steady clock.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// How far an attempt has come. Only `assigned` ones are still open.
+/// State of an attempt. Only an `assigned` one is still open.
 enum class AttemptState { assigned, complete, failed, cancelled };
 
-/// One request to one server. `reached` is false only if it is certain that no byte of it came to the server.
+/// One request to one server. `reached` is false only if certainly no byte of the request arrived at the server.
 struct Attempt {
   std::uint64_t id = 0;
   std::uint64_t server = 0;
@@ -26,35 +26,36 @@
   bool reached = true;
 };
 
-/// The attempts of one subrequest, in the order in which they began. Bounded: mayAttemptAgain allows only so many.
-/// Not safe for use by several threads.
+/// The attempts of one subrequest, in the order in which they began. mayAttemptAgain() bounds their number.
+/// Not thread-safe.
 class AttemptLog {
  public:
-  /// Attempts that reached no server, and so cost none, are bounded by this besides.
+  /// Attempts that reached no server do not count towards `maxAttempts`; once more than this many of them have been
+  /// made, no further attempt is allowed.
   static constexpr std::size_t maxUnreached = 4;
 
-  /// A server gets the request now.
+  /// Adds an open attempt: the request is sent to `server` at `now`.
   void assign(std::uint64_t attempt, std::uint64_t server, TimePoint now);
-  /// Its answer is the one that counts.
+  /// The attempt brought the answer that is used. This and the two calls below change only an open attempt.
   void complete(std::uint64_t attempt);
-  /// It brought no usable answer; `verdict` says whether it may have run.
+  /// The attempt brought no usable answer; `verdict` says whether the request may have run.
   void fail(std::uint64_t attempt, Verdict verdict, bool reached = true);
-  /// Nobody waits for its answer any more; it may have run.
+  /// The answer of the attempt is no longer awaited; the request may have run.
   void cancel(std::uint64_t attempt);
 
-  /// An attempt is under way.
+  /// Whether an attempt is still open.
   bool hasOpen() const;
   bool isComplete() const;
-  /// That server has had an attempt.
+  /// Whether an attempt was sent to this server.
   bool hasTried(std::uint64_t server) const;
-  /// Whether another attempt is allowed: fewer than `maxAttempts` reached a server, none is complete, and the request
-  /// is idempotent or certainly has not run.
+  /// Whether another attempt is allowed: no attempt is complete, fewer than `maxAttempts` reached a server, at most
+  /// `maxUnreached` reached none, and the request is idempotent or certainly has not run.
   bool mayAttemptAgain(std::size_t maxAttempts, bool idempotent) const;
-  /// Some attempt may have run.
+  /// Whether the request may have run in any attempt.
   bool mayHaveRun() const;
-  /// Some attempt may have come to a server: a further one is paid from the retry budget.
+  /// Whether any attempt may have reached a server. If so, a further one is paid from the retry budget.
   bool hasReached() const;
-  /// The epoch of the clock if there was no attempt.
+  /// When the last attempt began; the epoch of the clock if there was none.
   TimePoint lastBegan() const;
   std::vector<Attempt> const& attempts() const { return attempts_; }
 
--- a/libs/retry/include/limeramp/retry/retry_budget.h
+++ b/libs/retry/include/limeramp/retry/retry_budget.h
@@ -2,19 +2,20 @@
 
 namespace limeramp::retry {
 
-/// A token bucket for the further attempts of one service at one gateway: every first attempt deposits a part of one,
-/// every further attempt that may reach a server withdraws one. It starts empty, so that a gateway that has just
-/// started cannot spend what its predecessor spent already. The buckets of all gateways together keep the fleet's bound
-/// (docs/servers.md). Not safe for use by several threads.
+/// A token bucket that limits the further attempts (retries and hedges) of one service at one gateway. Every first
+/// attempt deposits a fraction of a token, every further attempt that may reach a server withdraws one token. The
+/// bucket starts empty, so that a restarted gateway cannot spend tokens that its predecessor has already spent. The
+/// buckets of all gateways together keep the fleet's bound (docs/servers.md). Not thread-safe.
 class RetryBudget {
  public:
-  /// Changes the bucket's size and the deposit; what is over the size is lost.
+  /// Sets the size of the bucket (`depth`) and the deposit per first attempt (`ratio`), both in tokens. A balance above
+  /// the size is cut to it.
   void set(double depth, double ratio);
-  /// A first attempt was sent.
+  /// Call when a first attempt is sent.
   void deposit();
-  /// Pays for a further attempt. False, and nothing is taken, if the balance is below 1.
+  /// Takes one token for a further attempt. Returns false and takes nothing if the balance is below 1.
   bool withdraw();
-  /// Further attempts that can be paid now.
+  /// Tokens in the bucket, each of which pays for one further attempt.
   double balance() const { return balance_; }
 
  private:
--- a/libs/retry/include/limeramp/retry/verdict.h
+++ b/libs/retry/include/limeramp/retry/verdict.h
@@ -2,13 +2,13 @@
 
 #include <string_view>
 
-/// Whether a request has run: what decides if it may be sent again.
+/// Whether a request has run, which decides whether it may be sent again.
 namespace limeramp::retry {
 
-/// `notRun` is a proof: the request has not run and never will. `mayHaveRun` is what is assumed without one.
+/// `notRun` is proven: the request has not run and never will. Without such a proof `mayHaveRun` is assumed.
 enum class Verdict { notRun, mayHaveRun, ran };
 
-/// The word on the wire.
+/// The name used on the wire.
 constexpr std::string_view nameOf(Verdict verdict) {
   switch (verdict) {
     case Verdict::notRun:
--- a/libs/storage/include/limeramp/storage/record_store.h
+++ b/libs/storage/include/limeramp/storage/record_store.h
@@ -10,58 +10,60 @@
 #include <utility>
 #include <vector>
 
-/// The controllers' disk: a small map of keys and values in a ring of preallocated files.
+/// Durable storage of the controllers: a small key-value map in a ring of preallocated files.
 ///
-/// Each put appends one record with checksum, generation and serial; a turn of the ring begins with a checkpoint, one
-/// record of all values with the new ones among them. After a loss of power the store opens with the values of the last
-/// put that was synced; a torn record at the end is cut off, damage before it is reported and never served.
+/// Each put appends one record with checksum, generation and serial. When a file is full, the store moves to the next
+/// one and begins it with a checkpoint: one record of all values, including the new ones. After a power loss the store
+/// opens with the values of the last synced put. A torn record at the end is dropped; damage before it is reported, and
+/// no values are served.
 namespace limeramp::storage {
 
 /// Keys with their new values.
 using Puts = std::vector<std::pair<std::string, std::string>>;
 
-/// Number and size of the files. All are written in full when the store is made.
+/// Number and size of the ring files, which are allocated in full when the store is opened.
 struct RingLayout {
-  /// Two at least: the newest values are never written over the file that holds the last synced ones.
+  /// At least 2: a checkpoint is never written into the file that holds the last synced values.
   std::size_t files = 4;
-  /// Bytes of each file. All values together must fit in one, in one record; a put that does not fit fails for good.
-  /// Longer files of an earlier process stay as long as they are, shorter ones are lengthened.
+  /// Bytes of each file. All values together must fit into one file as one record; a put that does not fit fails, as
+  /// does every further put until `rewrite` succeeds. Longer files of an earlier process keep their length, shorter
+  /// ones are lengthened.
   std::size_t fileBytes = 16 << 20;
 };
 
-/// What opening found.
+/// State of the files when the store was opened.
 struct Findings {
-  /// No store was here: this is a new disk.
+  /// The folder held no store: the disk is new.
   bool empty = false;
-  /// The last record was torn and is cut off: normal after a loss of power.
+  /// The last record was torn and has been dropped, as is normal after a power loss.
   bool tailTruncated = false;
-  /// A record that had been synced does not read. The values are incomplete: do not serve them.
+  /// A record that had been synced is unreadable. No values are loaded and puts are refused until `setAside`.
   bool damaged = false;
   std::string detail;
 };
 
-/// Owned by one thread at a time; blocks on the disk. Only one process can hold a folder.
+/// Used by one thread at a time; calls block on the disk. A lock file lets only one process open a folder.
 class RecordStore {
  public:
-  /// Unavailable if the folder cannot be used or is held by another process.
-  static absl::StatusOr<std::unique_ptr<RecordStore>> open(std::string const& folder, RingLayout const& shape = {});
+  /// Creates the folder if it is missing. Unavailable if it cannot be used or another process has it open.
+  static absl::StatusOr<std::unique_ptr<RecordStore>> open(std::string const& folder, RingLayout const& layout = {});
   ~RecordStore();
   RecordStore(RecordStore const&) = delete;
   RecordStore& operator=(RecordStore const&) = delete;
 
   /// What open() found.
   Findings const& findings() const;
-  /// All current values. What was read at the start is certainly on the disk only after the first put, which syncs all
-  /// of it again: a sync that failed in an earlier process may have left it in the system's memory alone.
+  /// All current values. Those read by open() are certainly on the disk only after the first put, which writes and
+  /// syncs them all again: if a sync failed in an earlier process, they may be only in the page cache.
   std::map<std::string, std::string> const& values() const;
-  /// Returns once the values are synced. After an error it is unknown whether they are on the disk, and every further
-  /// put is refused until `rewrite` has succeeded: a later record must not be on the disk without an earlier one.
+  /// Returns once the values are synced. After an error it is unknown whether they are on the disk, and further puts
+  /// are refused until `rewrite` succeeds: a later record must not be on the disk without an earlier one.
   absl::Status put(Puts const& puts);
-  /// After a failed put: writes all values and these in one record into another file than that of the last synced
-  /// values, and syncs it. Nothing that was written before the failure is relied on, or tried again in its place. Once
-  /// it has succeeded, puts are taken again; after an error it may be called again.
+  /// Recovers from a failed put: writes all values, updated by `puts`, as one record into a file other than the one
+  /// with the last synced values, and syncs it. It neither relies on the record whose write failed nor repeats that
+  /// write in place. Puts are accepted again once it succeeds; after an error it may be called again.
   absl::Status rewrite(Puts const& puts);
-  /// Renames damaged files, for inspection, and begins with an empty store.
+  /// Renames the damaged files, which are kept for inspection, and continues with an empty store.
   absl::Status setAside();
 
  private:
--- a/libs/storage/src/record_store.cpp
+++ b/libs/storage/src/record_store.cpp
@@ -39,7 +39,8 @@
   }
 };
 
-struct Head {
+/// Precedes each record in a ring file. Each checkpoint begins a new generation and has serial 0.
+struct RecordHeader {
   std::uint32_t magic = 0;
   std::uint32_t size = 0;
   std::uint64_t generation = 0;
@@ -48,85 +49,88 @@
 };
 
 constexpr std::uint32_t magicNumber = 0x444c4f48;
-/// Bytes of a record beside its pairs, and of a pair beside its key and value, at the most.
+/// Upper bounds in bytes: of a record without its pairs, and of a pair without its key and value.
 constexpr std::size_t maxRecordOverhead = 256;
 constexpr std::size_t maxPairOverhead = 32;
 
-std::uint64_t checksumOf(Head const& head, char const* payload) {
-  std::uint64_t const marks[3]{head.size, head.generation, head.serial};
-  return XXH64(payload, head.size, XXH64(marks, sizeof marks, 0));
+std::uint64_t checksumOf(RecordHeader const& header, char const* payload) {
+  std::uint64_t const hashedFields[3]{header.size, header.generation, header.serial};
+  return XXH64(payload, header.size, XXH64(hashedFields, sizeof hashedFields, 0));
 }
 
 std::size_t aligned(std::size_t size) { return (size + 7) & ~static_cast<std::size_t>(7); }
 
-absl::Status problem(std::string const& what) { return absl::UnavailableError(what + ": " + std::strerror(errno)); }
+absl::Status errnoStatus(std::string const& what) { return absl::UnavailableError(what + ": " + std::strerror(errno)); }
 
-std::optional<Head> headAt(std::string const& bytes, std::size_t at) {
-  Head head;
-  if (at + sizeof head > bytes.size()) {
+/// Nothing if no whole record with a correct checksum begins at `offset`.
+std::optional<RecordHeader> readHeader(std::string const& bytes, std::size_t offset) {
+  RecordHeader header;
+  if (offset + sizeof header > bytes.size()) {
     return std::nullopt;
   }
-  std::memcpy(&head, bytes.data() + at, sizeof head);
-  if (head.magic != magicNumber || head.size > bytes.size() - at - sizeof head ||
-      head.checksum != checksumOf(head, bytes.data() + at + sizeof head)) {
+  std::memcpy(&header, bytes.data() + offset, sizeof header);
+  if (header.magic != magicNumber || header.size > bytes.size() - offset - sizeof header ||
+      header.checksum != checksumOf(header, bytes.data() + offset + sizeof header)) {
     return std::nullopt;
   }
-  return head;
+  return header;
 }
 
+/// The readable records of one ring file.
 struct FileScan {
-  bool checkpoint = false;
-  bool rotten = false;
+  bool hasCheckpoint = false;
+  bool hasDamage = false;
   std::uint64_t generation = 0;
   std::uint64_t nextSerial = 0;
-  std::size_t end = 0;
-  bool torn = false;
+  std::size_t endOffset = 0;
+  bool hasTornTail = false;
   std::map<std::string, std::string> values;
 };
 
-FileScan scan(std::string const& bytes) {
+FileScan scanFile(std::string const& bytes) {
   FileScan out;
-  std::optional<Head> const first = headAt(bytes, 0);
-  out.checkpoint = first.has_value() && first->serial == 0;
-  if (out.checkpoint) {
+  std::optional<RecordHeader> const first = readHeader(bytes, 0);
+  out.hasCheckpoint = first.has_value() && first->serial == 0;
+  if (out.hasCheckpoint) {
     out.generation = first->generation;
   }
-  std::size_t at = 0;
-  while (out.checkpoint) {
-    std::optional<Head> const head = headAt(bytes, at);
-    if (!head || head->generation != out.generation || head->serial != out.nextSerial) {
+  std::size_t offset = 0;
+  while (out.hasCheckpoint) {
+    std::optional<RecordHeader> const header = readHeader(bytes, offset);
+    if (!header || header->generation != out.generation || header->serial != out.nextSerial) {
       break;
     }
     absl::StatusOr<Batch> batch =
-        messages::unpack<Batch>(std::string_view(bytes).substr(at + sizeof(Head), head->size));
+        messages::unpack<Batch>(std::string_view(bytes).substr(offset + sizeof(RecordHeader), header->size));
     if (!batch.ok()) {
-      out.rotten = true;
+      out.hasDamage = true;
       break;
     }
     for (Pair& pair : batch->pairs) {
       out.values[pair.key] = std::move(pair.value);
     }
     ++out.nextSerial;
-    at += aligned(sizeof(Head) + head->size);
+    offset += aligned(sizeof(RecordHeader) + header->size);
   }
-  out.end = at;
-  Head raw;
-  if (at + sizeof raw <= bytes.size()) {
-    std::memcpy(&raw, bytes.data() + at, sizeof raw);
-    out.torn = raw.magic == magicNumber && (!out.checkpoint || raw.generation == out.generation);
+  out.endOffset = offset;
+  RecordHeader unverified;
+  if (offset + sizeof unverified <= bytes.size()) {
+    std::memcpy(&unverified, bytes.data() + offset, sizeof unverified);
+    out.hasTornTail =
+        unverified.magic == magicNumber && (!out.hasCheckpoint || unverified.generation == out.generation);
   }
-  for (std::size_t later = at + 8; later + sizeof(Head) <= bytes.size(); later += 8) {
-    std::uint32_t word = 0;
-    std::memcpy(&word, bytes.data() + later, sizeof word);
-    if (word != magicNumber) {
+  for (std::size_t laterOffset = offset + 8; laterOffset + sizeof(RecordHeader) <= bytes.size(); laterOffset += 8) {
+    std::uint32_t magic = 0;
+    std::memcpy(&magic, bytes.data() + laterOffset, sizeof magic);
+    if (magic != magicNumber) {
       continue;
     }
-    std::optional<Head> const head = headAt(bytes, later);
-    if (head && head->serial > 0 && (!out.checkpoint || head->generation >= out.generation)) {
-      if (!out.checkpoint) {
-        out.generation = std::max(out.generation, head->generation);
+    std::optional<RecordHeader> const header = readHeader(bytes, laterOffset);
+    if (header && header->serial > 0 && (!out.hasCheckpoint || header->generation >= out.generation)) {
+      if (!out.hasCheckpoint) {
+        out.generation = std::max(out.generation, header->generation);
       }
-      out.rotten = true;
+      out.hasDamage = true;
     }
   }
   return out;
@@ -136,27 +140,27 @@
 
 struct RecordStore::Impl {
   std::string folder;
-  RingLayout shape;
+  RingLayout layout;
   Findings findings;
   std::map<std::string, std::string> values;
   std::vector<int> files;
-  int lock = -1;
-  std::size_t current = 0;
+  int lockFile = -1;
+  std::size_t currentFile = 0;
   /// The file that holds the last synced values.
   std::size_t syncedFile = 0;
   std::uint64_t generation = 0;
   std::uint64_t serial = 0;
-  std::size_t end = 0;
-  /// What was read when the store was opened may be in the system's memory alone, if a sync failed before. The first
-  /// put writes it all again.
+  std::size_t endOffset = 0;
+  /// If a sync failed in an earlier process, the values read by open() may be only in the page cache. The first put
+  /// therefore writes a checkpoint of all values.
   bool checkpointDue = true;
-  /// Why a write failed: nothing more is written then. Empty while all is well.
+  /// Error of the last write; puts are refused until a rewrite succeeds. Empty if that write succeeded.
   std::string writeFailure;
 
   ~Impl() {
     closeFiles();
-    if (lock >= 0) {
-      ::close(lock);
+    if (lockFile >= 0) {
+      ::close(lockFile);
     }
   }
 
@@ -167,7 +171,7 @@
     files.clear();
   }
 
-  std::string pathOf(std::size_t index) const {
+  std::string filePath(std::size_t index) const {
     std::string path = folder;
     path += "/ring-";
     path += std::to_string(index);
@@ -177,135 +181,136 @@
   absl::Status syncFolder() const {
     int const handle = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (handle < 0) {
-      return problem(folder);
+      return errnoStatus(folder);
     }
-    bool const good = ::fsync(handle) == 0;
+    bool const synced = ::fsync(handle) == 0;
     ::close(handle);
-    return good ? absl::OkStatus() : problem(folder);
+    return synced ? absl::OkStatus() : errnoStatus(folder);
   }
 
   absl::Status openFiles() {
-    for (std::size_t index = 0; index < shape.files; ++index) {
-      int const file = ::open(pathOf(index).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    for (std::size_t index = 0; index < layout.files; ++index) {
+      int const file = ::open(filePath(index).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
       if (file < 0) {
-        return problem(pathOf(index));
+        return errnoStatus(filePath(index));
       }
       files.push_back(file);
-      struct stat found {};
-      if (::fstat(file, &found) != 0) {
-        return problem(pathOf(index));
+      struct stat fileStatus {};
+      if (::fstat(file, &fileStatus) != 0) {
+        return errnoStatus(filePath(index));
       }
-      // An earlier process may have written longer files: what stands behind `fileBytes` is read and used too.
-      shape.fileBytes = std::max(shape.fileBytes, static_cast<std::size_t>(found.st_size));
+      // An earlier process may have written longer files: their whole length is read and used.
+      layout.fileBytes = std::max(layout.fileBytes, static_cast<std::size_t>(fileStatus.st_size));
     }
-    for (std::size_t index = 0; index < shape.files; ++index) {
+    for (std::size_t index = 0; index < layout.files; ++index) {
       int const file = files[index];
-      int const failure = ::posix_fallocate(file, 0, static_cast<off_t>(shape.fileBytes));
+      int const failure = ::posix_fallocate(file, 0, static_cast<off_t>(layout.fileBytes));
       if (failure != 0) {
         errno = failure;
-        return problem(pathOf(index));
+        return errnoStatus(filePath(index));
       }
       if (::fsync(file) != 0) {
-        return problem(pathOf(index));
+        return errnoStatus(filePath(index));
       }
     }
     return syncFolder();
   }
 
   absl::Status load() {
-    bool any = false;
-    std::optional<FileScan> best;
-    std::uint64_t rottenGeneration = 0;
-    for (std::size_t index = 0; index < shape.files; ++index) {
-      std::string bytes(shape.fileBytes, '\0');
-      std::size_t got = 0;
-      while (got < bytes.size()) {
-        ssize_t const count = ::pread(files[index], bytes.data() + got, bytes.size() - got, static_cast<off_t>(got));
+    bool hasData = false;
+    std::optional<FileScan> newest;
+    std::uint64_t damagedGeneration = 0;
+    for (std::size_t index = 0; index < layout.files; ++index) {
+      std::string bytes(layout.fileBytes, '\0');
+      std::size_t bytesRead = 0;
+      while (bytesRead < bytes.size()) {
+        ssize_t const count =
+            ::pread(files[index], bytes.data() + bytesRead, bytes.size() - bytesRead, static_cast<off_t>(bytesRead));
         if (count <= 0) {
-          return problem(pathOf(index));
+          return errnoStatus(filePath(index));
         }
-        got += static_cast<std::size_t>(count);
+        bytesRead += static_cast<std::size_t>(count);
       }
-      any = any || bytes.find_first_not_of('\0') != std::string::npos;
-      FileScan found = scan(bytes);
-      if (found.rotten) {
-        rottenGeneration = std::max(rottenGeneration, found.generation);
+      hasData = hasData || bytes.find_first_not_of('\0') != std::string::npos;
+      FileScan scanned = scanFile(bytes);
+      if (scanned.hasDamage) {
+        damagedGeneration = std::max(damagedGeneration, scanned.generation);
       }
-      if (found.checkpoint && (!best || found.generation > best->generation)) {
-        best = std::move(found);
-        current = index;
+      if (scanned.hasCheckpoint && (!newest || scanned.generation > newest->generation)) {
+        newest = std::move(scanned);
+        currentFile = index;
       }
     }
-    findings.empty = !any;
-    if (!best) {
-      findings.damaged = any && rottenGeneration > 0;
-      findings.tailTruncated = any && rottenGeneration == 0;
+    findings.empty = !hasData;
+    if (!newest) {
+      findings.damaged = hasData && damagedGeneration > 0;
+      findings.tailTruncated = hasData && damagedGeneration == 0;
       findings.detail = findings.damaged ? "no readable checkpoint" : "";
       return absl::OkStatus();
     }
-    if (rottenGeneration >= best->generation) {
+    if (damagedGeneration >= newest->generation) {
       findings.damaged = true;
       findings.detail =
-          "a record before the last one of generation " + std::to_string(rottenGeneration) + " is unreadable";
+          "a record before the last one of generation " + std::to_string(damagedGeneration) + " is unreadable";
       return absl::OkStatus();
     }
-    syncedFile = current;
-    generation = best->generation;
-    serial = best->nextSerial;
-    end = best->end;
-    findings.tailTruncated = best->torn;
-    values = std::move(best->values);
+    syncedFile = currentFile;
+    generation = newest->generation;
+    serial = newest->nextSerial;
+    endOffset = newest->endOffset;
+    findings.tailTruncated = newest->hasTornTail;
+    values = std::move(newest->values);
     return absl::OkStatus();
   }
 
   absl::Status append(Batch const& batch) {
     std::string const payload = messages::pack(batch);
-    Head head{magicNumber, static_cast<std::uint32_t>(payload.size()), generation, serial, 0};
-    head.checksum = checksumOf(head, payload.data());
-    std::string record(aligned(sizeof head + payload.size()), '\0');
-    std::memcpy(record.data(), &head, sizeof head);
-    std::memcpy(record.data() + sizeof head, payload.data(), payload.size());
-    if (end + record.size() > shape.fileBytes) {
+    RecordHeader header{magicNumber, static_cast<std::uint32_t>(payload.size()), generation, serial, 0};
+    header.checksum = checksumOf(header, payload.data());
+    std::string record(aligned(sizeof header + payload.size()), '\0');
+    std::memcpy(record.data(), &header, sizeof header);
+    std::memcpy(record.data() + sizeof header, payload.data(), payload.size());
+    if (endOffset + record.size() > layout.fileBytes) {
       return absl::ResourceExhaustedError("record larger than a ring file");
     }
-    std::size_t done = 0;
-    while (done < record.size()) {
-      ssize_t const count =
-          ::pwrite(files[current], record.data() + done, record.size() - done, static_cast<off_t>(end + done));
+    std::size_t bytesWritten = 0;
+    while (bytesWritten < record.size()) {
+      ssize_t const count = ::pwrite(files[currentFile], record.data() + bytesWritten, record.size() - bytesWritten,
+                                     static_cast<off_t>(endOffset + bytesWritten));
       if (count <= 0) {
-        return problem(pathOf(current));
+        return errnoStatus(filePath(currentFile));
       }
-      done += static_cast<std::size_t>(count);
+      bytesWritten += static_cast<std::size_t>(count);
     }
-    if (::fdatasync(files[current]) != 0) {
-      return problem(pathOf(current));
+    if (::fdatasync(files[currentFile]) != 0) {
+      return errnoStatus(filePath(currentFile));
     }
-    end += record.size();
+    endOffset += record.size();
     ++serial;
-    syncedFile = current;
+    syncedFile = currentFile;
     return absl::OkStatus();
   }
 
-  // Begins the next generation with one record of these values, which are all there are from then on. The file after
-  // the last synced one is taken again as long as attempts fail, so that no number of them reaches the synced values.
-  absl::Status writeCheckpoint(std::map<std::string, std::string> next) {
-    current = (syncedFile + 1) % shape.files;
+  // Begins the next generation with one record of `newValues`, which replace all current values. Failed attempts are
+  // repeated in the file after the last synced one, so that they never overwrite the synced values.
+  absl::Status writeCheckpoint(std::map<std::string, std::string> newValues) {
+    currentFile = (syncedFile + 1) % layout.files;
     ++generation;
     serial = 0;
-    end = 0;
+    endOffset = 0;
     Batch batch;
-    for (std::pair<std::string const, std::string> const& entry : next) {
+    for (std::pair<std::string const, std::string> const& entry : newValues) {
       batch.pairs.push_back({entry.first, entry.second});
     }
-    absl::Status written = append(batch);
-    if (written.ok()) {
-      values = std::move(next);
+    absl::Status status = append(batch);
+    if (status.ok()) {
+      values = std::move(newValues);
       checkpointDue = false;
     }
-    return written;
+    return status;
   }
 
-  // New values go into the checkpoint itself: a file has to hold each value once, never an old and a new one.
+  // A checkpoint includes the new values, so that a file needs room for only one copy of each value.
   absl::Status put(Puts const& puts) {
     Batch batch;
     std::size_t size = maxRecordOverhead;
@@ -313,43 +318,43 @@
       batch.pairs.push_back({entry.first, entry.second});
       size += entry.first.size() + entry.second.size() + maxPairOverhead;
     }
-    if (checkpointDue || end + size > shape.fileBytes) {
+    if (checkpointDue || endOffset + size > layout.fileBytes) {
       return rewrite(puts);
     }
-    absl::Status written = append(batch);
-    if (written.ok()) {
+    absl::Status status = append(batch);
+    if (status.ok()) {
       for (Pair& pair : batch.pairs) {
         values[pair.key] = std::move(pair.value);
       }
     }
-    return written;
+    return status;
   }
 
   absl::Status rewrite(Puts const& puts) {
-    std::map<std::string, std::string> next = values;
+    std::map<std::string, std::string> newValues = values;
     for (std::pair<std::string, std::string> const& entry : puts) {
-      next[entry.first] = entry.second;
+      newValues[entry.first] = entry.second;
     }
-    return writeCheckpoint(std::move(next));
+    return writeCheckpoint(std::move(newValues));
   }
 };
 
 RecordStore::RecordStore() : impl_(std::make_unique<Impl>()) {}
 RecordStore::~RecordStore() = default;
 
-absl::StatusOr<std::unique_ptr<RecordStore>> RecordStore::open(std::string const& folder, RingLayout const& shape) {
+absl::StatusOr<std::unique_ptr<RecordStore>> RecordStore::open(std::string const& folder, RingLayout const& layout) {
   std::unique_ptr<RecordStore> store(new RecordStore());
   Impl& impl = *store->impl_;
   impl.folder = folder;
-  impl.shape = shape;
+  impl.layout = layout;
   std::error_code failure;
   std::filesystem::create_directories(folder, failure);
   if (failure) {
     return absl::UnavailableError(folder + ": " + failure.message());
   }
-  impl.lock = ::open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (impl.lock < 0 || ::flock(impl.lock, LOCK_EX | LOCK_NB) != 0) {
-    return problem(folder + "/lock");
+  impl.lockFile = ::open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  if (impl.lockFile < 0 || ::flock(impl.lockFile, LOCK_EX | LOCK_NB) != 0) {
+    return errnoStatus(folder + "/lock");
   }
   absl::Status status = impl.openFiles();
   if (status.ok()) {
@@ -389,16 +394,16 @@
   impl_->closeFiles();
   std::string const suffix =
       ".damaged-" + std::to_string(std::chrono::system_clock::now().time_since_epoch() / std::chrono::milliseconds(1));
-  for (std::size_t index = 0; index < impl_->shape.files; ++index) {
-    if (::rename(impl_->pathOf(index).c_str(), (impl_->pathOf(index) + suffix).c_str()) != 0) {
-      return problem(impl_->pathOf(index));
+  for (std::size_t index = 0; index < impl_->layout.files; ++index) {
+    if (::rename(impl_->filePath(index).c_str(), (impl_->filePath(index) + suffix).c_str()) != 0) {
+      return errnoStatus(impl_->filePath(index));
     }
   }
   impl_->findings = Findings{true, false, false, ""};
   impl_->values.clear();
   impl_->generation = impl_->serial = 0;
-  impl_->end = 0;
-  impl_->current = 0;
+  impl_->endOffset = 0;
+  impl_->currentFile = 0;
   impl_->checkpointDue = true;
   impl_->syncedFile = 0;
   impl_->writeFailure.clear();
--- a/tests/replication_guards_test.cpp
+++ b/tests/replication_guards_test.cpp
@@ -1,4 +1,4 @@
-// Tests of single guards of the replication group: a member driven by hand, and short simulated scenes.
+// Tests of single safety checks of the replication group, on one member with scripted peers or in short simulations.
 #include "simulator/replication_simulation.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 constexpr char const* fleet = "f";
 
-// A member whose peers are played by the test. Its writes are synced at once.
+// A member whose peers are scripted by the test. Its writes finish at once; they fail while `diskFull` is set.
 class DrivenMember {
  public:
   explicit DrivenMember(std::string const& id) : id_(id) {
@@ -31,7 +31,7 @@
       } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
         step(replication::PersistFinished{persist->token, !diskFull});
       } else {
-        others.push_back(effect);
+        otherEffects.push_back(effect);
       }
     }
   }
@@ -40,9 +40,9 @@
     step(replication::MessageReceived{from, "address-" + from, message});
   }
 
-  // Lets time pass while the named peers send heartbeats and the others are silent.
-  void pass(Ms time, std::vector<std::string> const& heard) {
-    for (Ms passed{0}; passed < time; passed += Ms(20)) {
+  // Advances the time by `duration` while the peers in `heard` send heartbeats and the others are silent.
+  void advance(Ms duration, std::vector<std::string> const& heard) {
+    for (Ms passed{0}; passed < duration; passed += Ms(20)) {
       now += Ms(20);
       for (std::string const& peer : heard) {
         messages::Heartbeat heartbeat;
@@ -73,7 +73,7 @@
   replication::ReplicationGroup group{replication::optionsFor(1)};
   replication::TimePoint now{std::chrono::hours(1)};
   std::vector<replication::Send> sent;
-  std::vector<replication::GroupEffect> others;
+  std::vector<replication::GroupEffect> otherEffects;
   bool diskFull = false;
 
  private:
@@ -82,15 +82,15 @@
 
 messages::EpochRecord firstEpoch() { return {1, fleet, "a", {"b"}, {"a", "b", "c"}}; }
 
-// The record that the proposer sends to be accepted, after itself has accepted `own` and a peer says it accepted
-// `peer`.
-std::string primaryCarriedOn(std::uint64_t ownRound, std::uint64_t peerRound) {
+// The backup in the record that a proposer sends in its Accept, after it has accepted `own` itself and a peer has
+// reported that it accepted `peer`.
+std::string proposedBackup(std::uint64_t ownRound, std::uint64_t peerRound) {
   DrivenMember member("a");
   member.learn(firstEpoch(), "b");
   messages::EpochRecord const own{2, fleet, "b", {"a"}, {"a", "b", "c"}};
   messages::EpochRecord const peer{2, fleet, "b", {"c"}, {"a", "b", "c"}};
   member.receive("b", messages::Accept{firstEpoch(), {ownRound, "b"}, own});
-  member.pass(Ms(2000), {"c"});
+  member.advance(Ms(2000), {"c"});
   messages::Sync const* const sync = member.lastSent<messages::Sync>("c");
   EXPECT_NE(sync, nullptr);
   member.receive("c", messages::Synced{1, sync == nullptr ? 0 : sync->token});
@@ -107,76 +107,76 @@
   return accept == nullptr ? "" : accept->record.backups.front();
 }
 
-TEST(Guards, TheAcceptedRecordOfTheHighestBallotIsCarriedOnWhicheverAnswerComesFirst) {
-  EXPECT_EQ(primaryCarriedOn(5, 6), "c");
-  EXPECT_EQ(primaryCarriedOn(6, 5), "a");
-  EXPECT_EQ(primaryCarriedOn(1, 2), "c");
+TEST(ReplicationGuards, AProposerAdoptsTheAcceptedRecordOfTheHighestBallot) {
+  EXPECT_EQ(proposedBackup(5, 6), "c");
+  EXPECT_EQ(proposedBackup(6, 5), "a");
+  EXPECT_EQ(proposedBackup(1, 2), "c");
 }
 
-TEST(Guards, AFencingStateTransferIsTakenFromAReplicaOfTheEpochOnly) {
-  messages::State foreign;
-  foreign.epoch = 1;
-  foreign.sequence = 50;
-  foreign.document = "foreign";
+TEST(ReplicationGuards, AFencingStateTransferIsAcceptedOnlyFromAReplicaOfTheEpoch) {
+  messages::State foreignState;
+  foreignState.epoch = 1;
+  foreignState.sequence = 50;
+  foreignState.document = "foreign";
   messages::EpochRecord const otherFleet{1, "other", "x", {"y"}, {"x", "y", "z"}};
   for (std::string const from : {"x", "c"}) {
     DrivenMember member("b");
     member.learn(firstEpoch(), "a");
     std::size_t const sentBefore = member.sent.size();
-    member.receive(from, messages::Sync{from == "x" ? otherFleet : firstEpoch(), 9, true, foreign});
+    member.receive(from, messages::Sync{from == "x" ? otherFleet : firstEpoch(), 9, true, foreignState});
     EXPECT_EQ(member.group.state().document, "") << from;
     EXPECT_EQ(member.group.fenced(), 0u) << from;
     EXPECT_EQ(member.sent.size(), sentBefore) << from;
   }
   DrivenMember member("b");
   member.learn(firstEpoch(), "a");
-  member.receive("a", messages::Sync{firstEpoch(), 9, true, foreign});
+  member.receive("a", messages::Sync{firstEpoch(), 9, true, foreignState});
   EXPECT_EQ(member.group.fenced(), 1u);
   EXPECT_NE(member.lastSent<messages::Synced>("a"), nullptr);
 }
 
-TEST(Guards, APrimaryThatIsToldToEndTakesNoFurtherChange) {
+TEST(ReplicationGuards, APrimaryToldToShutDownAcceptsNoFurtherChange) {
   DrivenMember member("a");
   member.learn(firstEpoch(), "b");
-  messages::Sync const* const joining = member.lastSent<messages::Sync>("b");
-  ASSERT_NE(joining, nullptr);
-  member.receive("b", messages::Synced{1, joining->token});
+  messages::Sync const* const initialTransfer = member.lastSent<messages::Sync>("b");
+  ASSERT_NE(initialTransfer, nullptr);
+  member.receive("b", messages::Synced{1, initialTransfer->token});
   ASSERT_TRUE(member.group.active());
   member.step(replication::BeginShutdown{});
-  member.others.clear();
+  member.otherEffects.clear();
   messages::State change = member.group.state();
   change.document = "late";
   member.step(replication::Proposal{11, change});
-  ASSERT_EQ(member.others.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<replication::OutcomeUnknown>(member.others.front()));
+  ASSERT_EQ(member.otherEffects.size(), 1u);
+  EXPECT_TRUE(std::holds_alternative<replication::OutcomeUnknown>(member.otherEffects.front()));
   EXPECT_EQ(member.group.state().document, "");
 }
 
-TEST(Guards, ALeavingMemberWaitsUntilThePrimaryAndAMajorityHaveStoredTheEpochWithoutIt) {
+TEST(ReplicationGuards, ALeavingMemberWaitsForThePrimaryAndAMajorityToStoreItsRemoval) {
   DrivenMember member("c");
   member.learn(firstEpoch(), "a");
   member.step(replication::BeginShutdown{});
-  messages::EpochRecord const without{2, fleet, "a", {"b"}, {"a", "b", "d"}};
-  member.learn(without, "a");
+  messages::EpochRecord const withoutMember{2, fleet, "a", {"b"}, {"a", "b", "d"}};
+  member.learn(withoutMember, "a");
   EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::epochNotSpread);
-  messages::Heartbeat stored;
-  stored.epoch = 2;
-  stored.storedEpoch = 2;
-  member.receive("a", stored);
+  messages::Heartbeat storedHeartbeat;
+  storedHeartbeat.epoch = 2;
+  storedHeartbeat.storedEpoch = 2;
+  member.receive("a", storedHeartbeat);
   EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::epochNotSpread);
-  member.receive("b", stored);
+  member.receive("b", storedHeartbeat);
   EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::done);
   EXPECT_TRUE(member.group.mayShutDown());
 }
 
-TEST(Guards, ALeavingMemberEndsWhenItsTimeIsOver) {
+TEST(ReplicationGuards, ALeavingMemberEndsWhenItsGraceTimeIsOver) {
   DrivenMember member("b");
   member.learn(firstEpoch(), "a");
   EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::notRequested);
   member.step(replication::BeginShutdown{});
-  member.pass(replication::ReplicationOptions{}.shutdownGraceMs - Ms(40), {"a", "c"});
+  member.advance(replication::ReplicationOptions{}.shutdownGraceMs - Ms(40), {"a", "c"});
   EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::replicaNotReplaced);
-  member.pass(Ms(60), {"a", "c"});
+  member.advance(Ms(60), {"a", "c"});
   EXPECT_EQ(member.group.shutdownProgress(), replication::ShutdownProgress::graceTimeOver);
   EXPECT_TRUE(member.group.mayShutDown());
 }
@@ -205,9 +205,9 @@
   EXPECT_GT(group.commits, before);
 }
 
-TEST(Guards, APrimaryCutOffWithOneOfTwoBackupsIsNotConfirmedByThatOneAlone) {
+TEST(ReplicationGuards, APrimaryCutOffWithOneOfTwoBackupsIsNotConfirmed) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    for (std::size_t kept : {0u, 1u}) {
+    for (std::size_t keptBackup : {0u, 1u}) {
       ReplicationSimulation group(seed, 8, 0, 2);
       startAll(group);
       runUntilCommit(group, Ms(10'000));
@@ -215,11 +215,11 @@
       std::size_t const primary = group.active().value_or(0);
       messages::EpochRecord const record = group.nodes[primary].group.decided();
       ASSERT_EQ(record.backups.size(), 2u);
-      std::set<std::size_t> const cutOff{primary, indexOf(group, record.backups[kept])};
-      std::size_t const rival = indexOf(group, record.backups[1 - kept]);
-      // The rival hears neither of the two, while they still hear it: it takes over, and they do not miss it yet.
-      for (std::size_t const silent : cutOff) {
-        group.cut(silent, rival);
+      std::set<std::size_t> const cutOff{primary, indexOf(group, record.backups[keptBackup])};
+      std::size_t const rival = indexOf(group, record.backups[1 - keptBackup]);
+      // The rival hears neither of the two, but they still hear the rival: it takes over before they notice the cut.
+      for (std::size_t const isolated : cutOff) {
+        group.cut(isolated, rival);
       }
       for (int round = 0; round < 5000 && group.nodes[rival].group.fenced() < record.epoch; ++round) {
         group.run(Ms(1));
@@ -236,7 +236,8 @@
         group.run(Ms(10));
         group.offer();
       }
-      EXPECT_GT(group.nodes[*group.active()].group.decided().epoch, record.epoch) << "the other side goes on";
+      EXPECT_GT(group.nodes[*group.active()].group.decided().epoch, record.epoch)
+          << "the other side continues in a later epoch";
       group.mendAll();
       group.run(Ms(3000));
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
@@ -244,7 +245,7 @@
   }
 }
 
-TEST(Guards, AWitnessWhoseAddressAnswersUnderAnotherIdentityIsReplacedWithoutWaitingForItsSilence) {
+TEST(ReplicationGuards, AWitnessWhoseAddressHasANewIdentityIsReplacedWithoutATimeout) {
   Ms slowest{0};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     ReplicationSimulation group(seed, 3, 0.01);
@@ -259,17 +260,17 @@
     }
     group.wipeInPlace(witness);
     group.start(witness);
-    TimePoint const returned = group.network.now();
-    std::string const newcomer = group.nodes[witness].id;
-    std::function<bool()> const votes = [&] {
+    TimePoint const restartedAt = group.network.now();
+    std::string const newId = group.nodes[witness].id;
+    std::function<bool()> const votesAgain = [&] {
       std::optional<std::size_t> const primary = group.active();
-      std::vector<std::string> const& listed = group.nodes[primary.value_or(0)].group.decided().witnesses;
-      return primary && std::find(listed.begin(), listed.end(), newcomer) != listed.end();
+      std::vector<std::string> const& witnesses = group.nodes[primary.value_or(0)].group.decided().witnesses;
+      return primary && std::find(witnesses.begin(), witnesses.end(), newId) != witnesses.end();
     };
-    while (!votes() && group.network.now() - returned < Ms(5000)) {
+    while (!votesAgain() && group.network.now() - restartedAt < Ms(5000)) {
       group.run(Ms(10));
     }
-    slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - returned));
+    slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - restartedAt));
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
   }
   std::printf("seeds 1 to 60: a witness wiped in place votes again after %ld ms at most\n",
@@ -277,35 +278,35 @@
   EXPECT_LT(slowest, Ms(1500));
 }
 
-TEST(Guards, APrimaryWhoseDiskIsFullGivesUpItsLeadershipAndAcknowledgesNothing) {
+TEST(ReplicationGuards, APrimaryWhoseDiskIsFullStepsDownAndAcknowledgesNothing) {
   DrivenMember member("a");
   member.learn(firstEpoch(), "b");
-  messages::Sync const* const joining = member.lastSent<messages::Sync>("b");
-  ASSERT_NE(joining, nullptr);
-  member.receive("b", messages::Synced{1, joining->token});
+  messages::Sync const* const initialTransfer = member.lastSent<messages::Sync>("b");
+  ASSERT_NE(initialTransfer, nullptr);
+  member.receive("b", messages::Synced{1, initialTransfer->token});
   ASSERT_TRUE(member.group.active());
-  member.others.clear();
+  member.otherEffects.clear();
   member.diskFull = true;
   messages::State change = member.group.state();
   change.document = "does not fit";
   member.step(replication::Proposal{11, change});
-  messages::Sync const* const transfer = member.lastSent<messages::Sync>("b");
-  ASSERT_NE(transfer, nullptr);
-  member.receive("b", messages::Synced{1, transfer->token});
+  messages::Sync const* const changeTransfer = member.lastSent<messages::Sync>("b");
+  ASSERT_NE(changeTransfer, nullptr);
+  member.receive("b", messages::Synced{1, changeTransfer->token});
   EXPECT_FALSE(member.group.active());
   EXPECT_TRUE(member.group.unhealthy());
-  for (replication::GroupEffect const& effect : member.others) {
+  for (replication::GroupEffect const& effect : member.otherEffects) {
     EXPECT_FALSE(std::holds_alternative<replication::Committed>(effect));
   }
   member.sent.clear();
-  member.pass(Ms(1000), {"b", "c"});
+  member.advance(Ms(1000), {"b", "c"});
   messages::Heartbeat const* const heartbeat = member.lastSent<messages::Heartbeat>("b");
   ASSERT_NE(heartbeat, nullptr);
   EXPECT_TRUE(heartbeat->unhealthy);
 }
 
-// Every time-out of a primary and of its backups is off by the length of a freeze here, in both directions.
-TEST(Clocks, PrimariesThatFreezeAndThawInTurnNeverContradictOneAnother) {
+// A freeze delays the timeouts of a primary or of its backups by its length, so that either side may time out late.
+TEST(Freezes, PrimariesFrozenInTurnNeverContradictOneAnother) {
   std::size_t takeovers = 0;
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     std::size_t const losses = 1 + seed % 2;
@@ -335,46 +336,46 @@
   EXPECT_GT(takeovers, 400u);
 }
 
-TEST(Behind, AMemberThatComesBackWithAnOldDiskDoesNotLeadBeforeItHasTheState) {
+TEST(OutdatedDisk, AMemberWithAnOldDiskDoesNotLeadBeforeItHasTheState) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     ReplicationSimulation group(seed, 3, 0.01);
     startAll(group);
     runUntilCommit(group, Ms(10'000));
     group.run(Ms(2000));
     messages::EpochRecord const record = group.nodes[group.active().value_or(0)].group.decided();
-    std::size_t const away = indexOf(group, record.backups.front());
+    std::size_t const absent = indexOf(group, record.backups.front());
     std::size_t const primary = indexOf(group, record.primary);
-    std::size_t const witness = 3 - away - primary;
-    group.kill(away, true);
+    std::size_t const witness = 3 - absent - primary;
+    group.kill(absent, true);
     for (int change = 0; change < 20; ++change) {
       runUntilCommit(group, Ms(10'000));
     }
     group.kill(primary, true);
     group.kill(witness, true);
-    group.start(away);
+    group.start(absent);
     group.run(Ms(5000));
     EXPECT_FALSE(group.active().has_value()) << "alone, seed " << seed;
     group.start(witness);
     runUntilCommit(group, Ms(10'000));
-    EXPECT_EQ(group.active().value_or(away), witness) << seed;
+    EXPECT_EQ(group.active().value_or(absent), witness) << seed;
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
   }
 }
 
-// After a member's write has failed it takes no part; once its disk has room again, it is a full member.
-TEST(Guards, AWitnessWhoseDiskWasFullVotesAgain) {
+// After a failed write a member does not vote or answer; it does again once its disk has room.
+TEST(ReplicationGuards, AWitnessWhoseDiskWasFullVotesAgain) {
   DrivenMember member("c");
   member.learn(firstEpoch(), "a");
   member.diskFull = true;
   member.receive("b", messages::Prepare{firstEpoch(), {5, "b"}});
   EXPECT_EQ(member.lastSent<messages::PrepareResponse>("b"), nullptr);
   EXPECT_EQ(member.group.diskCondition(), replication::DiskCondition::failed);
-  member.pass(Ms(4500), {"a", "b"});
+  member.advance(Ms(4500), {"a", "b"});
   EXPECT_TRUE(member.group.unhealthy()) << "the disk is still full";
   member.receive("b", messages::Prepare{firstEpoch(), {6, "b"}});
   EXPECT_EQ(member.lastSent<messages::PrepareResponse>("b"), nullptr);
   member.diskFull = false;
-  member.pass(replication::ReplicationOptions{}.diskRetryMs + Ms(100), {"a", "b"});
+  member.advance(replication::ReplicationOptions{}.diskRetryMs + Ms(100), {"a", "b"});
   EXPECT_FALSE(member.group.unhealthy());
   EXPECT_FALSE(member.lastSent<messages::Heartbeat>("a")->unhealthy);
   member.receive("b", messages::Prepare{firstEpoch(), {7, "b"}});
@@ -383,22 +384,22 @@
   EXPECT_TRUE(answer->granted);
 }
 
-// A lower ballot than the one that was promised in the failed write is refused: the promise may be on the disk.
-TEST(Guards, AMemberWhoseDiskWasFullKeepsThePromiseOfTheWriteThatFailed) {
+// The promise of a failed write may be on the disk, so a lower ballot must still be refused.
+TEST(ReplicationGuards, AMemberWhoseDiskWasFullKeepsThePromiseOfItsFailedWrite) {
   DrivenMember member("c");
   member.learn(firstEpoch(), "a");
   member.diskFull = true;
   member.receive("b", messages::Prepare{firstEpoch(), {5, "b"}});
   member.diskFull = false;
-  member.pass(Ms(1200), {"a", "b"});
+  member.advance(Ms(1200), {"a", "b"});
   member.receive("a", messages::Prepare{firstEpoch(), {4, "a"}});
   messages::PrepareResponse const* const answer = member.lastSent<messages::PrepareResponse>("a");
   ASSERT_NE(answer, nullptr);
   EXPECT_FALSE(answer->granted);
 }
 
-// The vote on epoch 2 is settled with that epoch, also if it is learnt while the disk is full.
-TEST(Guards, AnEpochLearntWhileTheDiskIsFullEndsTheVoteOnIt) {
+// The vote on epoch 2 ends when that epoch is learnt, even while the disk is full.
+TEST(ReplicationGuards, AnEpochLearntWhileTheDiskIsFullClearsTheVoteOnIt) {
   DrivenMember member("c");
   member.learn(firstEpoch(), "a");
   messages::EpochRecord const rejected{2, fleet, "a", {"c"}, {"a", "b", "c"}};
@@ -410,27 +411,27 @@
   member.learn(second, "b");
   EXPECT_EQ(member.group.decided().epoch, 2u);
   member.diskFull = false;
-  member.pass(Ms(1200), {"a", "b"});
+  member.advance(Ms(1200), {"a", "b"});
   member.receive("a", messages::Prepare{second, {1, "a"}});
   messages::PrepareResponse const* const answer = member.lastSent<messages::PrepareResponse>("a");
   ASSERT_NE(answer, nullptr);
   EXPECT_EQ(answer->nextEpoch, 3u);
   EXPECT_TRUE(answer->granted) << "no promise for epoch 3 was given";
-  EXPECT_FALSE(answer->accepted.has_value()) << "the record accepted for epoch 2 is no vote on epoch 3";
+  EXPECT_FALSE(answer->accepted.has_value()) << "the record accepted for epoch 2 must not count as a vote on epoch 3";
 }
 
-// The list of members stands on the same disk; its failed write closes the store for the votes as well.
-TEST(Guards, AFailedWriteOfAnotherRecordIsMendedLikeOneOfTheGroup) {
+// The list of members is on the same disk: after its write has failed, the store refuses votes as well.
+TEST(ReplicationGuards, AMemberRecoversFromAFailedWriteOfAnotherRecord) {
   DrivenMember member("c");
   member.learn(firstEpoch(), "a");
   member.step(replication::PersistFinished{0, false});
   EXPECT_TRUE(member.group.unhealthy());
-  member.pass(Ms(1200), {"a", "b"});
+  member.advance(Ms(1200), {"a", "b"});
   EXPECT_FALSE(member.group.unhealthy());
 }
 
-// What cannot be read is not written over: the member does not know what it has promised.
-TEST(Guards, AMemberWhoseRecordsDoNotReadStaysOut) {
+// A member that cannot read its records does not know what it has promised. It must not overwrite them.
+TEST(ReplicationGuards, AMemberWithUnreadableRecordsStaysUnhealthy) {
   replication::ReplicationGroup group(replication::optionsFor(1));
   replication::TimePoint now{std::chrono::hours(1)};
   group.step(now, replication::Start{{"c", "address-c", "zone-c"}, {{"vote", "unreadable"}}, 7, false, {}});
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -9,27 +9,27 @@
 using namespace limeramp;
 using namespace limeramp::simulator;
 
-void expectAlive(ReplicationSimulation& group, std::string const& when) {
+void expectNextCommit(ReplicationSimulation& group, std::string const& when) {
   std::size_t const before = group.commits;
   for (int round = 0; round < 400 && group.commits == before; ++round) {
     group.run(Ms(25));
     group.offer();
   }
-  std::string picture;
+  std::string memberStates;
   for (SimulatedMember const& node : group.nodes) {
     messages::EpochRecord const& decided = node.group.decided();
-    picture += "\n" + node.id + (node.up ? " up" : " down") + (node.frozen ? " frozen" : "") +
-               (node.group.unhealthy() ? " ailing" : "") + " epoch " + std::to_string(decided.epoch) + " sealed " +
-               std::to_string(node.group.fenced()) + " primary " + decided.primary + " backup " +
-               (decided.backups.empty() ? "" : decided.backups.front()) + " witnesses";
+    memberStates += "\n" + node.id + (node.up ? " up" : " down") + (node.frozen ? " frozen" : "") +
+                    (node.group.unhealthy() ? " unhealthy" : "") + " epoch " + std::to_string(decided.epoch) +
+                    " fenced " + std::to_string(node.group.fenced()) + " primary " + decided.primary + " backup " +
+                    (decided.backups.empty() ? "" : decided.backups.front()) + " witnesses";
     for (std::string const& witness : decided.witnesses) {
-      picture += " " + witness;
+      memberStates += " " + witness;
     }
   }
-  EXPECT_GT(group.commits, before) << when << picture;
+  EXPECT_GT(group.commits, before) << when << memberStates;
 }
 
-std::size_t primaryOf(ReplicationSimulation& group) {
+std::size_t waitForPrimary(ReplicationSimulation& group) {
   for (int round = 0; round < 400 && !group.active(); ++round) {
     group.run(Ms(25));
   }
@@ -43,22 +43,22 @@
   }
 }
 
-TEST(Founding, TwoOfThreeSeedsDoNotFoundAndAnyNumberFromThreeOnDoesOnce) {
-  ReplicationSimulation two(5, 3, 0);
-  two.start(0);
-  two.start(1);
-  two.run(Ms(20'000));
-  EXPECT_FALSE(two.active().has_value());
+TEST(Founding, ThreeOrMoreSeedsFoundOneGroupButTwoOfThreeDoNot) {
+  ReplicationSimulation twoStarted(5, 3, 0);
+  twoStarted.start(0);
+  twoStarted.start(1);
+  twoStarted.run(Ms(20'000));
+  EXPECT_FALSE(twoStarted.active().has_value());
   for (std::size_t const count : {3u, 4u, 5u, 8u, 16u}) {
     ReplicationSimulation group(5 + count, count, 0.1);
     startAll(group);
-    expectAlive(group, "after founding");
+    expectNextCommit(group, "after founding");
     EXPECT_EQ(group.fleets.size(), 1u);
     EXPECT_TRUE(group.complaints.empty());
   }
 }
 
-TEST(Founding, CutsAndLossesAtEveryMomentNeverGiveTwoGroups) {
+TEST(Founding, CutsAndLostDisksNeverLeadToTwoGroups) {
   std::size_t founded = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     ReplicationSimulation group(seed, 3 + seed % 6, 0.1);
@@ -113,14 +113,14 @@
   EXPECT_GT(founded, 300u);
 }
 
-TEST(Founding, OfTwoSidesOfACutOnlyTheOneWithMostSeedsFounds) {
+TEST(Founding, OnlyTheSideOfACutWithMostSeedsFounds) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     ReplicationSimulation group(seed, 9, 0.02);
-    std::size_t const lone = seed % 3;
+    std::size_t const loneSeed = seed % 3;
     for (std::size_t left = 0; left < 9; ++left) {
       for (std::size_t right = 0; right < 9; ++right) {
-        bool const leftSide = left == lone || left >= 6;
-        bool const rightSide = right == lone || right >= 6;
+        bool const leftSide = left == loneSeed || left >= 6;
+        bool const rightSide = right == loneSeed || right >= 6;
         if (leftSide != rightSide) {
           group.cut(left, right);
         }
@@ -129,11 +129,11 @@
     startAll(group);
     group.run(Ms(10'000));
     EXPECT_EQ(group.fleets.size(), 1u) << seed;
-    EXPECT_EQ(group.nodes[lone].group.decided().epoch, 0u) << seed;
+    EXPECT_EQ(group.nodes[loneSeed].group.decided().epoch, 0u) << seed;
     group.mendAll();
-    expectAlive(group, "after the cut");
+    expectNextCommit(group, "after the cut");
     group.run(Ms(5'000));
-    EXPECT_EQ(group.nodes[lone].group.decided().fleet, *group.fleets.begin()) << seed;
+    EXPECT_EQ(group.nodes[loneSeed].group.decided().fleet, *group.fleets.begin()) << seed;
     EXPECT_EQ(group.fleets.size(), 1u) << seed;
   }
 }
@@ -142,7 +142,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ReplicationSimulation group(seed, 4, 0);
     startAll(group);
-    expectAlive(group, "at first");
+    expectNextCommit(group, "after founding");
     std::string const fleet = *group.fleets.begin();
     for (std::size_t index = 0; index < group.nodes.size(); ++index) {
       group.wipeInPlace(index);
@@ -154,58 +154,58 @@
   }
 }
 
-TEST(Founding, ASeedThatComesEmptyDoesNotHoldUpTheOthers) {
-  for (std::size_t which = 0; which < 3; ++which) {
+TEST(Founding, ASeedThatMayNotFoundDoesNotDelayTheOthers) {
+  for (std::size_t memberIndex = 0; memberIndex < 3; ++memberIndex) {
     ReplicationSimulation group(7, 4, 0);
-    group.nodes[which].mayFound = false;
+    group.nodes[memberIndex].mayFound = false;
     startAll(group);
-    expectAlive(group, "with one empty seed");
-    EXPECT_LT(group.network.now() - TimePoint(std::chrono::hours(1)), Ms(5000)) << which;
+    expectNextCommit(group, "with one empty seed");
+    EXPECT_LT(group.network.now() - TimePoint(std::chrono::hours(1)), Ms(5000)) << memberIndex;
   }
 }
 
-TEST(Founding, OneOrTwoSeedsFoundWithThoseThereAre) {
-  ReplicationSimulation pair(5, 2, 0);
-  startAll(pair);
-  expectAlive(pair, "two");
-  EXPECT_EQ(pair.fleets.size(), 1u);
-  ReplicationSimulation lone(5, 1, 0);
-  startAll(lone);
-  lone.run(Ms(20'000));
-  EXPECT_FALSE(lone.active().has_value()) << "one disk may be lost";
+TEST(Founding, TwoSeedsFoundAGroupButASingleSeedDoesNot) {
+  ReplicationSimulation twoSeeds(5, 2, 0);
+  startAll(twoSeeds);
+  expectNextCommit(twoSeeds, "two");
+  EXPECT_EQ(twoSeeds.fleets.size(), 1u);
+  ReplicationSimulation loneSeed(5, 1, 0);
+  startAll(loneSeed);
+  loneSeed.run(Ms(20'000));
+  EXPECT_FALSE(loneSeed.active().has_value()) << "a single seed cannot tolerate the loss of its disk";
 }
 
-TEST(ReplicationGroup, PrimaryKilledAtEveryStepOfAWriteLosesNoAcknowledgedChange) {
+TEST(ReplicationGroup, APrimaryKilledAtAnyStepOfAWriteLosesNoAcknowledgedChange) {
   for (std::uint64_t stepUs = 0; stepUs < 12'000; stepUs += 250) {
     for (bool const powerLoss : {false, true}) {
       ReplicationSimulation group(100 + stepUs, 3, 0);
       startAll(group);
-      expectAlive(group, "at first");
-      std::size_t const primary = primaryOf(group);
+      expectNextCommit(group, "after founding");
+      std::size_t const primary = waitForPrimary(group);
       group.offer();
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
       group.kill(primary, powerLoss);
-      expectAlive(group, "after the kill at " + std::to_string(stepUs));
+      expectNextCommit(group, "after the kill at " + std::to_string(stepUs));
       group.start(primary);
       group.run(Ms(3000));
-      expectAlive(group, "after the return");
+      expectNextCommit(group, "after the return");
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
     }
   }
 }
 
-TEST(ReplicationGroup, PrimaryThatRestartsAtOnceAtEveryStepOfAWriteGoesOn) {
+TEST(ReplicationGroup, CommitsAfterThePrimaryRestartsAtAnyStepOfAWrite) {
   for (std::uint64_t stepUs = 0; stepUs < 12'000; stepUs += 250) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       ReplicationSimulation group(seed, 3, 0);
       startAll(group);
-      expectAlive(group, "at first");
-      std::size_t const primary = primaryOf(group);
+      expectNextCommit(group, "after founding");
+      std::size_t const primary = waitForPrimary(group);
       group.offer();
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
       group.kill(primary, true);
       group.start(primary);
-      expectAlive(group, "after the restart at " + std::to_string(stepUs));
+      expectNextCommit(group, "after the restart at " + std::to_string(stepUs));
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
     }
   }
@@ -220,15 +220,15 @@
   return group.nodes.size();
 }
 
-TEST(ShuttingDown, AWarnedPrimaryHandsOverWithoutTheSilenceOfATakeover) {
-  Ms worst{0};
-  Ms withoutWarning{1'000'000};
+TEST(ShuttingDown, APrimaryToldToShutDownHandsOverWithoutATakeoverTimeout) {
+  Ms longestWithWarning{0};
+  Ms shortestWithoutWarning{1'000'000};
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     for (bool const warned : {true, false}) {
       ReplicationSimulation group(seed, 3 + seed % 2, 0.01);
       startAll(group);
-      expectAlive(group, "at first");
-      std::size_t const primary = primaryOf(group);
+      expectNextCommit(group, "after founding");
+      std::size_t const primary = waitForPrimary(group);
       if (warned) {
         group.beginShutdown(primary);
         for (int round = 0; round < 200 && !group.nodes[primary].group.mayShutDown(); ++round) {
@@ -236,60 +236,61 @@
         }
         EXPECT_TRUE(group.nodes[primary].group.mayShutDown()) << seed;
       }
-      TimePoint const ended = group.network.now();
+      TimePoint const endedAt = group.network.now();
       group.kill(primary, false);
       std::size_t const before = group.commits;
-      while (group.commits == before && group.network.now() - ended < Ms(20'000)) {
+      while (group.commits == before && group.network.now() - endedAt < Ms(20'000)) {
         group.run(Ms(10));
         group.offer();
       }
-      Ms const gap = std::chrono::duration_cast<Ms>(group.network.now() - ended);
-      (warned ? worst : withoutWarning) = warned ? std::max(worst, gap) : std::min(withoutWarning, gap);
+      Ms const outage = std::chrono::duration_cast<Ms>(group.network.now() - endedAt);
+      (warned ? longestWithWarning : shortestWithoutWarning) =
+          warned ? std::max(longestWithWarning, outage) : std::min(shortestWithoutWarning, outage);
       group.start(primary);
       group.run(Ms(2000));
-      expectAlive(group, "after the return");
+      expectNextCommit(group, "after the return");
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     }
   }
-  std::printf("seeds 1 to 40: first change %ld ms at most after a warned end, %ld ms at least after a sudden one\n",
-              static_cast<long>(worst.count()), static_cast<long>(withoutWarning.count()));
-  EXPECT_LT(worst, Ms(700));
-  EXPECT_GT(withoutWarning, Ms(1200));
+  std::printf("seeds 1 to 40: first change %ld ms at most after an announced shutdown, %ld ms at least after a kill\n",
+              static_cast<long>(longestWithWarning.count()), static_cast<long>(shortestWithoutWarning.count()));
+  EXPECT_LT(longestWithWarning, Ms(700));
+  EXPECT_GT(shortestWithoutWarning, Ms(1200));
 }
 
-TEST(ShuttingDown, KilledAtEveryStepOfItsHandOverLosesNothing) {
+TEST(ShuttingDown, APrimaryKilledAtAnyStepOfItsHandoverLosesNoAcknowledgedChange) {
   for (std::uint64_t stepUs = 0; stepUs < 60'000; stepUs += 500) {
     ReplicationSimulation group(500 + stepUs, 3, 0);
     startAll(group);
-    expectAlive(group, "at first");
-    std::size_t const primary = primaryOf(group);
+    expectNextCommit(group, "after founding");
+    std::size_t const primary = waitForPrimary(group);
     group.offer();
     group.beginShutdown(primary);
     group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
     group.kill(primary, stepUs % 1000 == 0);
-    expectAlive(group, "after the end at " + std::to_string(stepUs));
+    expectNextCommit(group, "after the end at " + std::to_string(stepUs));
     group.start(primary);
     group.run(Ms(3000));
-    expectAlive(group, "after the return");
+    expectNextCommit(group, "after the return");
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
   }
 }
 
-// Runs the group until `index` may end, 6 s at most, and removes it for good, disk and address included.
-Ms leaveForGood(ReplicationSimulation& group, std::size_t index) {
-  TimePoint const asked = group.network.now();
+// Shuts the member `index` down, waits up to 6 s until it may end, and removes it for good with its disk and address.
+Ms shutDownAndWipe(ReplicationSimulation& group, std::size_t index) {
+  TimePoint const requestedAt = group.network.now();
   group.beginShutdown(index);
-  while (!group.nodes[index].group.mayShutDown() && group.network.now() - asked < Ms(6000)) {
+  while (!group.nodes[index].group.mayShutDown() && group.network.now() - requestedAt < Ms(6000)) {
     group.run(Ms(10));
     group.offer();
   }
   EXPECT_TRUE(group.nodes[index].group.mayShutDown());
   group.wipe(index);
-  return std::chrono::duration_cast<Ms>(group.network.now() - asked);
+  return std::chrono::duration_cast<Ms>(group.network.now() - requestedAt);
 }
 
 std::vector<std::size_t> membersByRole(ReplicationSimulation& group) {
-  messages::EpochRecord const record = group.nodes[primaryOf(group)].group.decided();
+  messages::EpochRecord const record = group.nodes[waitForPrimary(group)].group.decided();
   std::vector<std::string> ids{record.primary};
   ids.insert(ids.end(), record.backups.begin(), record.backups.end());
   for (std::string const& id : record.witnesses) {
@@ -307,12 +308,12 @@
   return out;
 }
 
-TEST(Leaving, ABackupThatIsToldToEndWhileItHoldsTheOnlyCopyHandsItOverFirst) {
+TEST(Leaving, ABackupWithTheOnlyCopyHandsItOverBeforeItEnds) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     for (std::size_t const count : {3u, 4u, 5u}) {
       ReplicationSimulation group(seed, count, 0.01);
       startAll(group);
-      expectAlive(group, "at first");
+      expectNextCommit(group, "after founding");
       group.run(Ms(2000));
       std::vector<std::size_t> const roles = membersByRole(group);
       group.offer();
@@ -322,84 +323,85 @@
       if (count == 3) {
         group.start(roles[0]);
       }
-      leaveForGood(group, roles[1]);
-      expectAlive(group, "after the backup left, seed " + std::to_string(seed) + " of " + std::to_string(count));
+      shutDownAndWipe(group, roles[1]);
+      expectNextCommit(group, "after the backup left, seed " + std::to_string(seed) + " of " + std::to_string(count));
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     }
   }
 }
 
-TEST(Leaving, AnyMemberIsReplacedBeforeItEndsSoAnyOtherMayBeLostRightThen) {
-  std::vector<Ms> took;
+TEST(Leaving, AMemberIsReplacedBeforeItEndsSoThatAnyOtherMayBeLost) {
+  std::vector<Ms> durations;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     for (std::size_t const losses : {1u, 2u}) {
-      std::size_t const least = losses == 1 ? 4 : 6;
-      std::size_t const count = least + seed % 3;
+      std::size_t const minimumCount = losses == 1 ? 4 : 6;
+      std::size_t const count = minimumCount + seed % 3;
       for (std::size_t leaver = 0; leaver < 2 * losses + 1; ++leaver) {
         for (std::size_t other = 0; other < 2 * losses + 1; ++other) {
           ReplicationSimulation group(100 * seed + 10 * leaver + other, count, 0.01, losses);
           startAll(group);
-          expectAlive(group, "at first");
+          expectNextCommit(group, "after founding");
           group.run(Ms(8000));
-          std::size_t const draining = membersByRole(group)[leaver];
+          std::size_t const leavingIndex = membersByRole(group)[leaver];
           group.offer();
-          took.push_back(leaveForGood(group, draining));
-          std::vector<std::size_t> const now = membersByRole(group);
-          ASSERT_LT(other, now.size());
+          durations.push_back(shutDownAndWipe(group, leavingIndex));
+          std::vector<std::size_t> const membersAfter = membersByRole(group);
+          ASSERT_LT(other, membersAfter.size());
           for (std::size_t lost = 0; lost < losses; ++lost) {
-            group.wipe(now[(other + lost) % now.size()]);
+            group.wipe(membersAfter[(other + lost) % membersAfter.size()]);
           }
-          expectAlive(group, "after " + std::to_string(leaver) + " left and " + std::to_string(other) + " was lost");
+          expectNextCommit(group,
+                           "after " + std::to_string(leaver) + " left and " + std::to_string(other) + " was lost");
           EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
         }
       }
     }
   }
-  std::sort(took.begin(), took.end());
-  std::printf("%zu leaves: %ld ms at the median, %ld ms at most\n", took.size(),
-              static_cast<long>(took[took.size() / 2].count()), static_cast<long>(took.back().count()));
-  EXPECT_LT(took.back(), Ms(5000));
+  std::sort(durations.begin(), durations.end());
+  std::printf("%zu shutdowns: %ld ms at the median, %ld ms at most\n", durations.size(),
+              static_cast<long>(durations[durations.size() / 2].count()), static_cast<long>(durations.back().count()));
+  EXPECT_LT(durations.back(), Ms(5000));
 }
 
-TEST(Leaving, AMemberThatNobodyCanReplaceEndsWithinTheGraceTime) {
+TEST(Leaving, AMemberThatCannotBeReplacedEndsWithinTheGraceTime) {
   for (std::size_t const count : {1u, 2u, 3u}) {
     for (std::size_t role = 0; role < count; ++role) {
       ReplicationSimulation group(40 + count, count, 0, count == 1 ? 0 : 1);
       startAll(group);
-      expectAlive(group, "at first");
+      expectNextCommit(group, "after founding");
       group.run(Ms(2000));
       std::size_t const leaver = membersByRole(group)[role];
-      TimePoint const asked = group.network.now();
+      TimePoint const requestedAt = group.network.now();
       group.beginShutdown(leaver);
-      while (!group.nodes[leaver].group.mayShutDown() && group.network.now() - asked < Ms(6000)) {
+      while (!group.nodes[leaver].group.mayShutDown() && group.network.now() - requestedAt < Ms(6000)) {
         group.run(Ms(10));
       }
       EXPECT_TRUE(group.nodes[leaver].group.mayShutDown()) << count << " " << role;
       group.kill(leaver, true);
       group.start(leaver);
-      expectAlive(group, "after its return");
+      expectNextCommit(group, "after its return");
       EXPECT_EQ(group.complaints, std::vector<std::string>{});
     }
   }
 }
 
-TEST(Zones, ReplicasAndWitnessesSpreadAgainAfterReplacements) {
+TEST(Zones, ReplicasAndWitnessesAreSpreadOverZonesAfterReplacements) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     ReplicationSimulation group(seed, 5, 0.01);
     for (std::size_t index = 0; index < 5; ++index) {
       group.nodes[index].zone = index < 3 ? "z" + std::to_string(index) : "z0";
     }
     startAll(group);
-    expectAlive(group, "at first");
+    expectNextCommit(group, "after founding");
     std::vector<std::size_t> order{0, 1, 2, 3, 4};
     std::shuffle(order.begin(), order.end(), group.network.random());
     for (std::size_t const lost : order) {
       group.wipe(lost);
-      expectAlive(group, "with one lost");
+      expectNextCommit(group, "with one lost");
       group.run(Ms(8000));
       group.start(lost);
       group.run(Ms(15'000));
-      std::size_t const primary = primaryOf(group);
+      std::size_t const primary = waitForPrimary(group);
       messages::EpochRecord const& record = group.nodes[primary].group.decided();
       std::set<std::string> zones;
       for (std::string const& id : record.witnesses) {
@@ -410,21 +412,22 @@
           << seed << " " << lost;
       std::uint64_t const epoch = record.epoch;
       group.run(Ms(20'000));
-      EXPECT_EQ(group.nodes[primaryOf(group)].group.decided().epoch, epoch) << "without a reason";
+      EXPECT_EQ(group.nodes[waitForPrimary(group)].group.decided().epoch, epoch)
+          << "the epoch changed without a reason";
     }
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
   }
 }
 
-TEST(ForceNewGroup, AfterAMajorityOfWitnessesIsGoneANewGroupGoesOnAndTheOldOneComesTooLate) {
+TEST(ForceNewGroup, AGroupForcedAfterTheLossOfAWitnessMajorityFencesTheOldOne) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     ReplicationSimulation group(seed, 4, 0);
     startAll(group);
-    expectAlive(group, "at first");
-    std::size_t const primary = primaryOf(group);
+    expectNextCommit(group, "after founding");
+    std::size_t const primary = waitForPrimary(group);
     messages::EpochRecord const record = group.nodes[primary].group.decided();
-    messages::State const newest = group.nodes[primary].group.state();
-    EXPECT_EQ(group.forceNewGroup(indexOf(group, record.backups.front()), newest, record.fleet),
+    messages::State const newestState = group.nodes[primary].group.state();
+    EXPECT_EQ(group.forceNewGroup(indexOf(group, record.backups.front()), newestState, record.fleet),
               "primary and backup are alive");
     std::vector<std::size_t> lost;
     for (std::string const& id : record.witnesses) {
@@ -433,20 +436,20 @@
     std::map<std::string, std::string> const oldDisk = group.nodes[primary].disk;
     std::string const oldId = group.nodes[primary].id;
     std::shuffle(lost.begin(), lost.end(), group.network.random());
-    bool const keepsOne = seed % 2 == 0;
-    for (std::size_t place = keepsOne ? 1 : 0; place < lost.size(); ++place) {
-      group.wipe(lost[place]);
-      group.start(lost[place]);
+    bool const keepsOneWitness = seed % 2 == 0;
+    for (std::size_t position = keepsOneWitness ? 1 : 0; position < lost.size(); ++position) {
+      group.wipe(lost[position]);
+      group.start(lost[position]);
     }
     group.run(Ms(10'000));
     EXPECT_FALSE(group.active().has_value());
     std::size_t const chosen = lost.back();
-    if (keepsOne) {
-      EXPECT_EQ(group.forceNewGroup(lost.front(), newest, "another"), "this controller is of another fleet");
+    if (keepsOneWitness) {
+      EXPECT_EQ(group.forceNewGroup(lost.front(), newestState, "another"), "this controller is of another fleet");
     }
-    EXPECT_EQ(group.forceNewGroup(chosen, newest, record.fleet), "");
-    expectAlive(group, "after the new group was forced");
-    EXPECT_GT(group.nodes[primaryOf(group)].group.decided().epoch, record.epoch + 1000);
+    EXPECT_EQ(group.forceNewGroup(chosen, newestState, record.fleet), "");
+    expectNextCommit(group, "after the new group was forced");
+    EXPECT_GT(group.nodes[waitForPrimary(group)].group.decided().epoch, record.epoch + 1000);
     std::size_t const other = lost[lost.size() - 2];
     group.kill(other, true);
     group.nodes[other].id = oldId;
@@ -456,41 +459,41 @@
       group.run(Ms(50));
       group.offer();
     }
-    expectAlive(group, "with one of the old group back");
+    expectNextCommit(group, "with one of the old group back");
     EXPECT_GT(group.nodes[other].group.decided().epoch, record.epoch + 1000);
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     EXPECT_EQ(group.fleets.size(), 1u);
   }
 }
 
-TEST(ReplicationGroup, AFrozenPrimaryThatThawsAcknowledgesNothing) {
+TEST(ReplicationGroup, APrimaryThatThawsAfterATakeoverAcknowledgesNothing) {
   for (std::uint64_t stepUs = 0; stepUs < 12'000; stepUs += 500) {
     ReplicationSimulation group(300 + stepUs, 3, 0);
     startAll(group);
-    expectAlive(group, "at first");
-    std::size_t const primary = primaryOf(group);
+    expectNextCommit(group, "after founding");
+    std::size_t const primary = waitForPrimary(group);
     group.offer();
     group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
     group.freeze(primary);
     group.run(Ms(1000));
-    expectAlive(group, "while frozen");
+    expectNextCommit(group, "while frozen");
     group.thaw(primary);
     group.offer();
     group.run(Ms(2000));
-    expectAlive(group, "after the thaw");
+    expectNextCommit(group, "after the thaw");
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
   }
 }
 
-TEST(ReplicationGroup, ABackupThatSealedItselfConfirmsNothingAnyMoreThoughItIsLostNext) {
+TEST(ReplicationGroup, AFencedBackupConfirmsNothingEvenIfItIsLostNext) {
   std::size_t offered = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     for (std::uint64_t stepUs = 0; stepUs < 20'000; stepUs += 1'000) {
       ReplicationSimulation group(seed, 3, 0);
       startAll(group);
-      expectAlive(group, "at first");
+      expectNextCommit(group, "after founding");
       group.run(Ms(700));
-      std::size_t const primary = primaryOf(group);
+      std::size_t const primary = waitForPrimary(group);
       messages::EpochRecord const record = group.nodes[primary].group.decided();
       std::size_t const backup = indexOf(group, record.backups.front());
       group.cut(primary, backup);
@@ -508,20 +511,20 @@
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
       group.wipe(backup);
       group.setLoss(0);
-      expectAlive(group, "after the loss of the backup at " + std::to_string(stepUs));
+      expectNextCommit(group, "after the loss of the backup at " + std::to_string(stepUs));
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed << " " << stepUs;
     }
   }
   EXPECT_GT(offered, 300u);
 }
 
-TEST(ReplicationGroup, AllProcessesKilledAtEveryStepOfAWriteAndBackWithinASecond) {
+TEST(ReplicationGroup, CommitsAfterAllProcessesAreKilledAndRestartedWithinASecond) {
   Ms slowest{0};
   for (std::size_t const losses : {1u, 2u}) {
     for (std::uint64_t stepUs = 0; stepUs < 12'000; stepUs += 250) {
       ReplicationSimulation group(700 + stepUs, losses == 1 ? 3 : 8, 0.01, losses);
       startAll(group);
-      expectAlive(group, "at first");
+      expectNextCommit(group, "after founding");
       group.run(Ms(2000));
       group.offer();
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
@@ -533,7 +536,7 @@
         group.run(Ms(static_cast<long>(group.network.roll(1000 / group.nodes.size()))));
         group.start(index);
       }
-      expectAlive(group, "after the herd came back at " + std::to_string(stepUs));
+      expectNextCommit(group, "after all processes restarted at " + std::to_string(stepUs));
       slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - lostAt));
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
     }
@@ -542,35 +545,35 @@
   EXPECT_LT(slowest, Ms(8000));
 }
 
-TEST(ReplicationGroup, OneDiskMachineOfThreeLostDoesNotStopWritesAndAnEmptyOneJoins) {
-  for (std::size_t which = 0; which < 3; ++which) {
+TEST(ReplicationGroup, CommitsWithOneOfThreeMembersLostAndAdmitsItsEmptyReplacement) {
+  for (std::size_t memberIndex = 0; memberIndex < 3; ++memberIndex) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       ReplicationSimulation group(seed, 3, 0.02);
       startAll(group);
-      expectAlive(group, "at first");
-      group.wipe(which);
-      expectAlive(group, "with one lost");
-      group.start(which);
+      expectNextCommit(group, "after founding");
+      group.wipe(memberIndex);
+      expectNextCommit(group, "with one lost");
+      group.start(memberIndex);
       group.run(Ms(15'000));
-      expectAlive(group, "with the empty one");
-      std::size_t const primary = primaryOf(group);
+      expectNextCommit(group, "with the empty one back");
+      std::size_t const primary = waitForPrimary(group);
       std::vector<std::string> const& witnesses = group.nodes[primary].group.decided().witnesses;
-      EXPECT_EQ(std::count(witnesses.begin(), witnesses.end(), group.nodes[which].id), 1);
-      std::size_t const next = (which + 1) % 3;
-      group.wipe(next);
-      expectAlive(group, "with a second one lost after the repair");
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << which << " seed " << seed;
+      EXPECT_EQ(std::count(witnesses.begin(), witnesses.end(), group.nodes[memberIndex].id), 1);
+      std::size_t const secondLost = (memberIndex + 1) % 3;
+      group.wipe(secondLost);
+      expectNextCommit(group, "with a second one lost after the repair");
+      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << memberIndex << " seed " << seed;
       EXPECT_EQ(group.fleets.size(), 1u);
     }
   }
 }
 
-TEST(ReplicationGroup, AllKilledAtOnceReturnInAnyOrderWithinTheirTime) {
+TEST(ReplicationGroup, AllKilledMembersCommitAgainInTimeAfterAnyStartOrder) {
   std::vector<std::size_t> order{0, 1, 2};
   do {
     ReplicationSimulation group(17, 3, 0);
     startAll(group);
-    expectAlive(group, "at first");
+    expectNextCommit(group, "after founding");
     group.offer();
     group.run(Ms(2));
     for (std::size_t index = 0; index < 3; ++index) {
@@ -580,53 +583,53 @@
       group.start(index);
       group.run(Ms(300));
     }
-    TimePoint const back = group.network.now();
-    expectAlive(group, "after the total loss");
-    EXPECT_LT(group.network.now() - back, Ms(5000));
+    TimePoint const lastStart = group.network.now();
+    expectNextCommit(group, "after the total loss");
+    EXPECT_LT(group.network.now() - lastStart, Ms(5000));
     EXPECT_TRUE(group.complaints.empty());
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-std::vector<std::size_t> twoOf(ReplicationSimulation& group, std::uint64_t turn) {
-  std::vector<std::size_t> all;
+std::vector<std::size_t> chooseTwoMachines(ReplicationSimulation& group, std::uint64_t variant) {
+  std::vector<std::size_t> shuffled;
   for (std::size_t index = 0; index < group.nodes.size(); ++index) {
-    all.push_back(index);
-  }
-  std::shuffle(all.begin(), all.end(), group.network.random());
-  messages::EpochRecord const& record = group.nodes[primaryOf(group)].group.decided();
-  std::vector<std::string> wanted{record.primary};
-  wanted.insert(wanted.end(), record.backups.begin(), record.backups.end());
-  wanted.erase(wanted.begin() + static_cast<long>(turn % wanted.size()));
-  wanted.insert(wanted.begin() + static_cast<long>(turn / 3 % 2), group.nodes[all.front()].id);
+    shuffled.push_back(index);
+  }
+  std::shuffle(shuffled.begin(), shuffled.end(), group.network.random());
+  messages::EpochRecord const& record = group.nodes[waitForPrimary(group)].group.decided();
+  std::vector<std::string> preferred{record.primary};
+  preferred.insert(preferred.end(), record.backups.begin(), record.backups.end());
+  preferred.erase(preferred.begin() + static_cast<long>(variant % preferred.size()));
+  preferred.insert(preferred.begin() + static_cast<long>(variant / 3 % 2), group.nodes[shuffled.front()].id);
   std::set<std::size_t> chosen;
-  for (std::size_t place = turn % 4 == 3 ? 0 : 1; chosen.size() < 2 && place < wanted.size(); ++place) {
-    chosen.insert(indexOf(group, wanted[place]));
+  for (std::size_t position = variant % 4 == 3 ? 0 : 1; chosen.size() < 2 && position < preferred.size(); ++position) {
+    chosen.insert(indexOf(group, preferred[position]));
   }
-  for (std::size_t place = 0; chosen.size() < 2; ++place) {
-    chosen.insert(all[place]);
+  for (std::size_t position = 0; chosen.size() < 2; ++position) {
+    chosen.insert(shuffled[position]);
   }
   return {chosen.begin(), chosen.end()};
 }
 
-TEST(TwoLosses, AnyTwoMachinesWithTheirDisksAtEveryStepOfAWriteLoseNothing) {
-  std::uint64_t turn = 0;
+TEST(TwoLosses, AnyTwoMachinesLostAtAnyStepOfAWriteLoseNoAcknowledgedChange) {
+  std::uint64_t variant = 0;
   Ms slowest{0};
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     for (std::uint64_t stepUs = 0; stepUs < 12'000; stepUs += 250) {
       ReplicationSimulation group(1000 * seed + stepUs, 8, seed % 2 == 0 ? 0.02 : 0, 2);
       startAll(group);
-      expectAlive(group, "at first");
+      expectNextCommit(group, "after founding");
       group.run(Ms(3000));
-      expectAlive(group, "at full strength");
+      expectNextCommit(group, "at full strength");
       for (bool const inPlace : {false, true}) {
-        std::vector<std::size_t> const lost = twoOf(group, ++turn);
+        std::vector<std::size_t> const lost = chooseTwoMachines(group, ++variant);
         group.offer();
         group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
         for (std::size_t const index : lost) {
           inPlace ? group.wipeInPlace(index) : group.wipe(index);
         }
         TimePoint const lostAt = group.network.now();
-        expectAlive(group, "with two lost at " + std::to_string(stepUs));
+        expectNextCommit(group, "with two lost at " + std::to_string(stepUs));
         slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - lostAt));
         for (std::size_t const index : lost) {
           group.start(index);
@@ -641,20 +644,20 @@
               static_cast<long>(slowest.count()));
 }
 
-TEST(TwoLosses, TotalPowerLossRightAfterAnAcknowledgementWithTwoWiped) {
-  std::uint64_t turn = 0;
+TEST(TwoLosses, TotalPowerLossWithTwoDisksLostKeepsTheLastAcknowledgedChange) {
+  std::uint64_t variant = 0;
   Ms slowest{0};
   for (std::uint64_t seed = 1; seed <= 120; ++seed) {
     ReplicationSimulation group(seed, 8, 0, 2);
     startAll(group);
-    expectAlive(group, "at first");
+    expectNextCommit(group, "after founding");
     group.run(Ms(3000));
     std::size_t const before = group.commits;
     group.offer();
     while (group.commits == before) {
       group.network.runUntil(group.network.now() + std::chrono::microseconds(100));
     }
-    std::vector<std::size_t> const lost = twoOf(group, ++turn);
+    std::vector<std::size_t> const lost = chooseTwoMachines(group, ++variant);
     for (std::size_t index = 0; index < 8; ++index) {
       std::count(lost.begin(), lost.end(), index) > 0 ? group.wipeInPlace(index) : group.kill(index, true);
     }
@@ -664,9 +667,9 @@
       group.start(index);
       group.run(Ms(static_cast<long>(group.network.roll(150))));
     }
-    TimePoint const back = group.network.now();
-    expectAlive(group, "after the total loss of seed " + std::to_string(seed));
-    slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - back));
+    TimePoint const lastStart = group.network.now();
+    expectNextCommit(group, "after the total loss of seed " + std::to_string(seed));
+    slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - lastStart));
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     EXPECT_EQ(group.fleets.size(), 1u);
   }
@@ -674,35 +677,35 @@
   EXPECT_LT(slowest, Ms(6000));
 }
 
-TEST(TwoLosses, AZoneOfTwoAndItsReturnWithoutDisks) {
+TEST(TwoLosses, AnyZoneOfTwoMayBeLostAndReturnWithEmptyDisks) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ReplicationSimulation group(seed, 8, 0.01, 2);
     startAll(group);
-    expectAlive(group, "at first");
+    expectNextCommit(group, "after founding");
     group.run(Ms(8000));
     for (std::size_t zone = 0; zone < 4; ++zone) {
       group.wipeInPlace(zone);
       group.wipeInPlace(zone + 4);
-      expectAlive(group, "without zone " + std::to_string(zone));
+      expectNextCommit(group, "without zone " + std::to_string(zone));
       group.run(Ms(static_cast<long>(group.network.roll(3000))));
       group.start(zone);
       group.start(zone + 4);
       group.run(Ms(4000));
     }
-    messages::EpochRecord const& record = group.nodes[primaryOf(group)].group.decided();
+    messages::EpochRecord const& record = group.nodes[waitForPrimary(group)].group.decided();
     EXPECT_EQ(record.backups.size(), 2u) << seed;
     EXPECT_EQ(record.witnesses.size(), 5u) << seed;
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
   }
 }
 
-TEST(ReplicationGroup, ALoneMemberAcknowledgesAloneWhenNoLossIsToBeBorne) {
+TEST(ReplicationGroup, ASingleMemberAcknowledgesWhenNoLossIsTolerated) {
   ReplicationSimulation group(31, 1, 0, 0);
   group.start(0);
-  expectAlive(group, "alone");
+  expectNextCommit(group, "alone");
   group.kill(0, true);
   group.start(0);
-  expectAlive(group, "after a power loss");
+  expectNextCommit(group, "after a power loss");
   EXPECT_EQ(group.complaints, std::vector<std::string>{});
 }
 
@@ -710,7 +713,7 @@
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     ReplicationSimulation group(seed, 3, 0.01);
     startAll(group);
-    expectAlive(group, "at first");
+    expectNextCommit(group, "after founding");
     std::vector<std::size_t> order{0, 1, 2};
     std::shuffle(order.begin(), order.end(), group.network.random());
     for (std::size_t const index : order) {
@@ -718,7 +721,8 @@
       group.run(Ms(static_cast<long>(200 + group.network.roll(2500))));
       group.start(index);
       group.run(Ms(4000));
-      expectAlive(group, "after machine " + std::to_string(index) + " came back empty, seed " + std::to_string(seed));
+      expectNextCommit(group,
+                       "after machine " + std::to_string(index) + " came back empty, seed " + std::to_string(seed));
     }
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     EXPECT_EQ(group.fleets.size(), 1u);
@@ -728,7 +732,7 @@
 TEST(ReplicationGroup, RecordsStoredByAnotherVersionAreReadByTheirOwnSchema) {
   ReplicationSimulation group(29, 3, 0);
   startAll(group);
-  expectAlive(group, "at first");
+  expectNextCommit(group, "after founding");
   for (std::size_t index = 0; index < 3; ++index) {
     group.kill(index, false);
     std::map<std::string, std::string>& disk = group.nodes[index].disk;
@@ -737,30 +741,30 @@
     disk["vote-schema"].insert(disk["vote-schema"].find('[') + 1, R"({"name":"dropped","type":"long"},)");
     group.start(index);
   }
-  expectAlive(group, "after the change of version");
+  expectNextCommit(group, "after the schema change");
   EXPECT_EQ(group.complaints, std::vector<std::string>{});
   EXPECT_EQ(group.fleets.size(), 1u);
 }
 
-TEST(ReplicationGroup, ADiskThatStallsHandsTheDutyOver) {
+TEST(ReplicationGroup, APrimaryWhoseDiskStallsIsReplaced) {
   ReplicationSimulation group(23, 3, 0);
   startAll(group);
-  expectAlive(group, "at first");
-  std::size_t const primary = primaryOf(group);
+  expectNextCommit(group, "after founding");
+  std::size_t const primary = waitForPrimary(group);
   group.nodes[primary].diskStuck = true;
   group.offer();
   group.run(Ms(6000));
-  expectAlive(group, "after the stall");
-  EXPECT_NE(primaryOf(group), primary);
+  expectNextCommit(group, "after the stall");
+  EXPECT_NE(waitForPrimary(group), primary);
   EXPECT_TRUE(group.complaints.empty());
 }
 
-TEST(ReplicationGroup, OneWayCutsAndIsolationNeverGiveTwoHistories) {
+TEST(ReplicationGroup, OneWayCutsAndIsolationNeverLeadToTwoHistories) {
   for (std::size_t from = 0; from < 3; ++from) {
     for (std::size_t to = 0; to < 3; ++to) {
       ReplicationSimulation group(40 + from * 3 + to, 3, 0);
       startAll(group);
-      expectAlive(group, "at first");
+      expectNextCommit(group, "after founding");
       if (from != to) {
         group.cut(from, to);
       } else {
@@ -775,28 +779,28 @@
       }
       group.mendAll();
       group.run(Ms(3000));
-      expectAlive(group, "after mending " + std::to_string(from) + std::to_string(to));
+      expectNextCommit(group, "after mending " + std::to_string(from) + std::to_string(to));
       EXPECT_TRUE(group.complaints.empty());
     }
   }
 }
 
-TEST(ReplicationGroup, AWitnessThatLosesPowerBetweenTwoRivalsRemembersItsVote) {
-  std::size_t rivalries = 0;
+TEST(ReplicationGroup, AWitnessThatLosesPowerBetweenTwoProposersKeepsItsVote) {
+  std::size_t contestedElections = 0;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     for (int waitMs = 1200; waitMs < 1900; waitMs += 3) {
       ReplicationSimulation group(seed, 4, 0);
       startAll(group);
-      expectAlive(group, "at first");
-      std::size_t const primary = primaryOf(group);
+      expectNextCommit(group, "after founding");
+      std::size_t const primary = waitForPrimary(group);
       messages::EpochRecord const record = group.nodes[primary].group.decided();
       std::size_t backup = 0;
       std::size_t witness = 0;
       for (std::size_t index = 0; index < 4; ++index) {
         std::string const& id = group.nodes[index].id;
-        bool const votes = std::count(record.witnesses.begin(), record.witnesses.end(), id) > 0;
+        bool const isWitness = std::count(record.witnesses.begin(), record.witnesses.end(), id) > 0;
         backup = id == record.backups.front() ? index : backup;
-        witness = votes && id != record.backups.front() && index != primary ? index : witness;
+        witness = isWitness && id != record.backups.front() && index != primary ? index : witness;
       }
       group.cut(primary, backup);
       group.cut(backup, primary);
@@ -810,18 +814,18 @@
       group.run(Ms(4000));
       group.mendAll();
       group.run(Ms(1500));
-      expectAlive(group, "after the power loss at " + std::to_string(waitMs));
-      rivalries += group.nodes[primary].group.fenced() > 0 && group.nodes[backup].group.fenced() > 0 ? 1 : 0;
+      expectNextCommit(group, "after the power loss at " + std::to_string(waitMs));
+      contestedElections += group.nodes[primary].group.fenced() > 0 && group.nodes[backup].group.fenced() > 0 ? 1 : 0;
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << waitMs << " seed " << seed;
     }
   }
-  EXPECT_GT(rivalries, 100u);
+  EXPECT_GT(contestedElections, 100u);
 }
 
-// What all storms have in common: kills, freezes and cuts, and their ends. Other draws are left to the storm.
-void disturb(ReplicationSimulation& group, std::size_t index, std::uint64_t drawn) {
+// Injects or ends the faults that all seeded tests share: kills, freezes and cuts. Other draws do nothing here.
+void injectFault(ReplicationSimulation& group, std::size_t index, std::uint64_t draw) {
   SimulatedMember const& node = group.nodes[index];
-  switch (drawn) {
+  switch (draw) {
     case 0:
       if (node.up) {
         group.kill(index, group.network.chance(0.5));
@@ -848,7 +852,7 @@
   }
 }
 
-TEST(ReplicationGroup, SeededStormsKeepEveryAcknowledgedChange) {
+TEST(ReplicationGroup, SeededFaultsKeepEveryAcknowledgedChange) {
   std::size_t commits = 0;
   std::size_t takeovers = 0;
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
@@ -861,9 +865,9 @@
       group.offer();
       std::size_t const index = group.network.roll(count);
       SimulatedMember& node = group.nodes[index];
-      std::uint64_t const drawn = group.network.roll(24);
-      disturb(group, index, drawn);
-      switch (drawn) {
+      std::uint64_t const draw = group.network.roll(24);
+      injectFault(group, index, draw);
+      switch (draw) {
         case 1:
         case 2:
           if (!node.up) {
@@ -876,11 +880,11 @@
           }
           break;
         case 10: {
-          bool const quiet = std::all_of(group.nodes.begin(), group.nodes.end(), [](SimulatedMember const& other) {
+          bool const allRunning = std::all_of(group.nodes.begin(), group.nodes.end(), [](SimulatedMember const& other) {
             return other.up && !other.frozen && !other.diskStuck;
           });
           std::optional<std::size_t> const active = group.active();
-          if (quiet && active && wipes < 3 &&
+          if (allRunning && active && wipes < 3 &&
               group.nodes[*active].group.fenced() < group.nodes[*active].group.decided().epoch &&
               std::all_of(group.nodes.begin(), group.nodes.end(), [&](SimulatedMember const& other) {
                 return other.group.decided().epoch == group.nodes[*active].group.decided().epoch;
@@ -920,7 +924,7 @@
       }
       group.thaw(index);
     }
-    expectAlive(group, "after the storm of seed " + std::to_string(seed));
+    expectNextCommit(group, "after the faults of seed " + std::to_string(seed));
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << "seed " << seed;
     EXPECT_EQ(group.fleets.size(), 1u) << "seed " << seed;
     commits += group.commits;
@@ -930,24 +934,24 @@
   EXPECT_GT(takeovers, 500u);
 }
 
-// Disks fill and have room again, one at a time, while processes are killed, frozen and cut off. Nobody restarts a
-// process for its disk's sake.
-TEST(ReplicationGroup, SeededStormsWithDisksThatFillKeepEveryAcknowledgedChange) {
+// One disk at a time is full while processes are killed, frozen and cut off. No process is restarted because of its
+// disk.
+TEST(ReplicationGroup, SeededFaultsWithFullDisksKeepEveryAcknowledgedChange) {
   std::size_t commits = 0;
-  std::size_t refusals = 0;
+  std::size_t failedStoreCount = 0;
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     std::size_t const count = 3 + seed % 3;
     ReplicationSimulation group(seed, count, 0.02);
     startAll(group);
-    expectAlive(group, "before the storm of seed " + std::to_string(seed));
+    expectNextCommit(group, "before the faults of seed " + std::to_string(seed));
     for (int round = 0; round < 400; ++round) {
       group.run(Ms(20 + static_cast<long>(group.network.roll(80))));
       group.offer();
       std::size_t const index = group.network.roll(count);
       SimulatedMember& node = group.nodes[index];
-      std::uint64_t const drawn = group.network.roll(16);
-      disturb(group, index, drawn);
-      switch (drawn) {
+      std::uint64_t const draw = group.network.roll(16);
+      injectFault(group, index, draw);
+      switch (draw) {
         case 1:
         case 2:
           for (std::size_t other = 0; other < count; ++other) {
@@ -970,7 +974,7 @@
         default:
           break;
       }
-      refusals += node.storeFailed ? 1 : 0;
+      failedStoreCount += node.storeFailed ? 1 : 0;
     }
     group.mendAll();
     group.setLoss(0);
@@ -985,13 +989,14 @@
     for (SimulatedMember const& node : group.nodes) {
       EXPECT_FALSE(node.group.unhealthy()) << node.id << " of seed " << seed;
     }
-    expectAlive(group, "after the storm of seed " + std::to_string(seed));
+    expectNextCommit(group, "after the faults of seed " + std::to_string(seed));
     EXPECT_EQ(group.complaints, std::vector<std::string>{}) << "seed " << seed;
     EXPECT_EQ(group.fleets.size(), 1u) << "seed " << seed;
     commits += group.commits;
   }
-  std::printf("seeds 1 to 150: %zu commits, %zu looks at a store that refused writes\n", commits, refusals);
-  EXPECT_GT(refusals, 1000u);
+  std::printf("seeds 1 to 150: %zu commits, %zu observations of a store that refused writes\n", commits,
+              failedStoreCount);
+  EXPECT_GT(failedStoreCount, 1000u);
 }
 
 }  // namespace
--- a/tests/second_loss_test.cpp
+++ b/tests/second_loss_test.cpp
@@ -1,4 +1,4 @@
-// Second losses at every step of a repair, a replacement and a leave, and the time to full redundancy again.
+// Second losses at every step of a repair, a replacement and a shutdown, and the time until redundancy is restored.
 #include "simulator/replication_simulation.h"
 
 #include <gtest/gtest.h>
@@ -10,11 +10,11 @@
 using namespace limeramp;
 using namespace limeramp::simulator;
 
-constexpr Ms serveAgainWithin{12'000};
-// A machine counts as lost for this long after its return or its start: after that the next loss must be borne.
-constexpr Ms lossCountsFor{4000};
+constexpr Ms commitTimeout{12'000};
+// A machine counts as lost until this long after its return or start; after that the next loss must be tolerated.
+constexpr Ms lossWindow{4000};
 
-enum class Loss { killed, wiped };
+enum class LossKind { killed, wiped };
 
 std::size_t indexOf(ReplicationSimulation const& group, std::string const& id) {
   for (std::size_t index = 0; index < group.nodes.size(); ++index) {
@@ -30,23 +30,24 @@
   return primary ? group.nodes[*primary].group.decided() : messages::EpochRecord{};
 }
 
-bool holds(ReplicationSimulation const& group, std::string const& id, std::uint64_t epoch) {
+bool hasDecidedEpoch(ReplicationSimulation const& group, std::string const& id, std::uint64_t epoch) {
   std::size_t const index = indexOf(group, id);
   return index < group.nodes.size() && group.nodes[index].up && group.nodes[index].group.decided().epoch == epoch;
 }
 
-// A primary leads with as many living backups and voters as the losses to bear ask for, and all of them know the epoch.
+// Whether a primary leads with as many living backups and witnesses as `losses` tolerated losses require, all of which
+// know the epoch.
 bool fullyRedundant(ReplicationSimulation const& group, std::size_t losses) {
   messages::EpochRecord const record = recordOf(group);
-  std::function<bool(std::string const&)> const known = [&](std::string const& id) {
-    return holds(group, id, record.epoch);
+  std::function<bool(std::string const&)> const knowsEpoch = [&](std::string const& id) {
+    return hasDecidedEpoch(group, id, record.epoch);
   };
   return record.epoch > 0 && record.backups.size() == losses && record.witnesses.size() == 2 * losses + 1 &&
-         std::all_of(record.backups.begin(), record.backups.end(), known) &&
-         std::all_of(record.witnesses.begin(), record.witnesses.end(), known);
+         std::all_of(record.backups.begin(), record.backups.end(), knowsEpoch) &&
+         std::all_of(record.witnesses.begin(), record.witnesses.end(), knowsEpoch);
 }
 
-bool commits(ReplicationSimulation& group, Ms within) {
+bool commitsWithin(ReplicationSimulation& group, Ms within) {
   std::size_t const before = group.commits;
   for (Ms passed{0}; passed < within && group.commits == before; passed += Ms(10)) {
     group.run(Ms(10));
@@ -55,39 +56,39 @@
   return group.commits > before;
 }
 
-// Changes come all the while, as on a busy day.
-void commitFor(ReplicationSimulation& group, Ms time) {
+// Runs the group for `time` and proposes a change every 100 ms.
+void proposeFor(ReplicationSimulation& group, Ms time) {
   for (Ms passed{0}; passed < time; passed += Ms(100)) {
     group.run(Ms(100));
     group.offer();
   }
 }
 
-std::optional<Ms> untilRedundant(ReplicationSimulation& group, std::size_t losses, Ms within) {
-  TimePoint const from = group.network.now();
+std::optional<Ms> waitForRedundancy(ReplicationSimulation& group, std::size_t losses, Ms within) {
+  TimePoint const startedAt = group.network.now();
   while (!fullyRedundant(group, losses)) {
-    if (group.network.now() - from >= within) {
+    if (group.network.now() - startedAt >= within) {
       return std::nullopt;
     }
     group.run(Ms(10));
     group.offer();
   }
-  return std::chrono::duration_cast<Ms>(group.network.now() - from);
+  return std::chrono::duration_cast<Ms>(group.network.now() - startedAt);
 }
 
-ReplicationSimulation groupAtFullStrength(std::uint64_t seed, std::size_t count, std::size_t losses) {
+ReplicationSimulation redundantGroup(std::uint64_t seed, std::size_t count, std::size_t losses) {
   ReplicationSimulation group(seed, count, 0.01, losses);
   for (std::size_t index = 0; index < count; ++index) {
     group.start(index);
   }
-  EXPECT_TRUE(commits(group, serveAgainWithin));
-  EXPECT_TRUE(untilRedundant(group, losses, Ms(20'000)).has_value()) << seed;
+  EXPECT_TRUE(commitsWithin(group, commitTimeout));
+  EXPECT_TRUE(waitForRedundancy(group, losses, Ms(20'000)).has_value()) << seed;
   group.run(Ms(2000 + static_cast<long>(group.network.roll(1000))));
   return group;
 }
 
-// The machines in the order of their duties: primary, backups, the other witnesses, spares.
-std::vector<std::size_t> byDuty(ReplicationSimulation const& group) {
+// All machines in the order of their roles: primary, backups, other witnesses, spares.
+std::vector<std::size_t> membersByRole(ReplicationSimulation const& group) {
   messages::EpochRecord const record = recordOf(group);
   std::vector<std::string> ids{record.primary};
   ids.insert(ids.end(), record.backups.begin(), record.backups.end());
@@ -107,82 +108,82 @@
   return out;
 }
 
-void lose(ReplicationSimulation& group, std::size_t index, Loss kind) {
-  kind == Loss::wiped ? group.wipe(index) : group.kill(index, true);
+void injectLoss(ReplicationSimulation& group, std::size_t index, LossKind kind) {
+  kind == LossKind::wiped ? group.wipe(index) : group.kill(index, true);
 }
 
-void printDistribution(std::string const& what, std::vector<Ms> times) {
+void printDistribution(std::string const& label, std::vector<Ms> times) {
   std::sort(times.begin(), times.end());
-  std::function<long(double)> const at = [&](double share) {
-    return static_cast<long>(times[static_cast<std::size_t>(share * static_cast<double>(times.size() - 1))].count());
+  std::function<long(double)> const valueAt = [&](double quantile) {
+    return static_cast<long>(times[static_cast<std::size_t>(quantile * static_cast<double>(times.size() - 1))].count());
   };
-  std::printf("%s: %zu runs, ms until redundant: median %ld, 90%% %ld, 99%% %ld, most %ld\n", what.c_str(),
-              times.size(), at(0.5), at(0.9), at(0.99), at(1));
+  std::printf("%s: %zu runs, ms until redundant: median %ld, 90%% %ld, 99%% %ld, most %ld\n", label.c_str(),
+              times.size(), valueAt(0.5), valueAt(0.9), valueAt(0.99), valueAt(1));
 }
 
-TEST(Redundancy, ALostMachineIsReplacedBySpareInATimeMeasuredOverAThousandSeeds) {
+TEST(Redundancy, ASpareReplacesALostMachineWithinTheLossWindow) {
   for (std::size_t const losses : {1u, 2u}) {
-    std::size_t const duties = 2 * losses + 1;
+    std::size_t const roles = 2 * losses + 1;
     std::vector<Ms> times;
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
-      ReplicationSimulation group = groupAtFullStrength(seed, duties + 1 + seed % 2, losses);
+      ReplicationSimulation group = redundantGroup(seed, roles + 1 + seed % 2, losses);
       group.offer();
-      lose(group, byDuty(group)[seed % duties], seed % 3 == 0 ? Loss::killed : Loss::wiped);
-      std::optional<Ms> const time = untilRedundant(group, losses, Ms(20'000));
+      injectLoss(group, membersByRole(group)[seed % roles], seed % 3 == 0 ? LossKind::killed : LossKind::wiped);
+      std::optional<Ms> const time = waitForRedundancy(group, losses, Ms(20'000));
       ASSERT_TRUE(time.has_value()) << losses << " seed " << seed;
       times.push_back(*time);
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     }
     printDistribution("machineLosses " + std::to_string(losses) + ", with a spare, from the loss", times);
-    EXPECT_LT(*std::max_element(times.begin(), times.end()), lossCountsFor);
+    EXPECT_LT(*std::max_element(times.begin(), times.end()), lossWindow);
   }
 }
 
-TEST(Redundancy, AMachineWipedInPlaceCountsAgainInATimeMeasuredOverAThousandSeeds) {
+TEST(Redundancy, AMachineWipedInPlaceRestoresRedundancyWithinTheLossWindow) {
   for (std::size_t const losses : {1u, 2u}) {
-    std::size_t const duties = 2 * losses + 1;
+    std::size_t const roles = 2 * losses + 1;
     std::vector<Ms> times;
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
-      ReplicationSimulation group = groupAtFullStrength(seed, duties, losses);
+      ReplicationSimulation group = redundantGroup(seed, roles, losses);
       group.offer();
-      std::size_t const lost = byDuty(group)[seed % duties];
+      std::size_t const lost = membersByRole(group)[seed % roles];
       group.wipeInPlace(lost);
       group.run(Ms(static_cast<long>(group.network.roll(3000))));
       group.start(lost);
-      std::optional<Ms> const time = untilRedundant(group, losses, Ms(20'000));
+      std::optional<Ms> const time = waitForRedundancy(group, losses, Ms(20'000));
       ASSERT_TRUE(time.has_value()) << losses << " seed " << seed;
       times.push_back(*time);
       EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
     }
     printDistribution("machineLosses " + std::to_string(losses) + ", no spare, from its empty return", times);
-    EXPECT_LT(*std::max_element(times.begin(), times.end()), lossCountsFor);
+    EXPECT_LT(*std::max_element(times.begin(), times.end()), lossWindow);
   }
 }
 
-TEST(SecondLoss, OfAMachineThatKeepsItsDiskIsBorneAtEveryStepOfARepair) {
+TEST(SecondLoss, APowerLossOfAnotherMachineDuringARepairIsTolerated) {
   for (std::size_t first = 0; first < 4; ++first) {
     for (std::size_t second = 0; second < 4; ++second) {
       for (long waitMs = 0; waitMs <= 4000; waitMs += 125) {
         if (first == second) {
           continue;
         }
-        ReplicationSimulation group = groupAtFullStrength(1 + static_cast<std::uint64_t>(waitMs), 4, 1);
-        std::vector<std::size_t> const duties = byDuty(group);
+        ReplicationSimulation group = redundantGroup(1 + static_cast<std::uint64_t>(waitMs), 4, 1);
+        std::vector<std::size_t> const roles = membersByRole(group);
         group.offer();
-        group.wipe(duties[first]);
+        group.wipe(roles[first]);
         group.run(Ms(waitMs));
         group.offer();
-        group.kill(duties[second], true);
+        group.kill(roles[second], true);
         group.run(Ms(1000));
-        group.start(duties[second]);
-        EXPECT_TRUE(commits(group, serveAgainWithin)) << first << " then " << second << " after " << waitMs;
+        group.start(roles[second]);
+        EXPECT_TRUE(commitsWithin(group, commitTimeout)) << first << " then " << second << " after " << waitMs;
         EXPECT_EQ(group.complaints, std::vector<std::string>{}) << first << " then " << second << " after " << waitMs;
       }
     }
   }
 }
 
-TEST(SecondLoss, WithItsDiskIsBorneAtEveryStepOfARepairWhereTwoMayBeLost) {
+TEST(SecondLoss, AnotherDiskLostDuringARepairIsToleratedWhereTwoMayBeLost) {
   for (std::size_t const count : {6u, 7u, 8u}) {
     for (std::size_t first = 0; first < 5; ++first) {
       for (std::size_t second = 0; second < 6; ++second) {
@@ -190,14 +191,15 @@
           if (first == second) {
             continue;
           }
-          ReplicationSimulation group = groupAtFullStrength(count + static_cast<std::uint64_t>(waitMs), count, 2);
-          std::vector<std::size_t> const duties = byDuty(group);
+          ReplicationSimulation group = redundantGroup(count + static_cast<std::uint64_t>(waitMs), count, 2);
+          std::vector<std::size_t> const roles = membersByRole(group);
           group.offer();
-          group.wipe(duties[first]);
+          group.wipe(roles[first]);
           group.run(Ms(waitMs + static_cast<long>(group.network.roll(500))));
           group.offer();
-          group.wipe(duties[second]);
-          EXPECT_TRUE(commits(group, serveAgainWithin)) << count << ": " << first << ", " << second << " at " << waitMs;
+          group.wipe(roles[second]);
+          EXPECT_TRUE(commitsWithin(group, commitTimeout))
+              << count << ": " << first << ", " << second << " at " << waitMs;
           EXPECT_EQ(group.complaints, std::vector<std::string>{}) << count << ": " << first << ", " << second;
         }
       }
@@ -205,57 +207,58 @@
   }
 }
 
-// With one loss to bear, a second disk lost before the repair is complete may stop the group, and it must do no more
-// than that: nothing that was acknowledged is contradicted. Once the group is redundant again it goes on.
-TEST(SecondLoss, WithItsDiskStopsAGroupOfOneLossAtWorstAndOnlyUntilItIsRedundantAgain) {
-  std::size_t early = 0;
-  std::size_t wentOn = 0;
+// If a group that tolerates one loss loses a second disk before the repair is complete, it may stop, but it must not
+// contradict anything that was acknowledged. A loss after the group is redundant again must not stop it.
+TEST(SecondLoss, AnotherDiskLostDuringARepairAtWorstStopsAGroupOfOneLoss) {
+  std::size_t lossesDuringRepair = 0;
+  std::size_t continuedCount = 0;
   for (std::size_t const count : {4u, 5u}) {
     for (std::size_t first = 0; first < 3; ++first) {
       for (std::size_t second = 0; second < 3; ++second) {
         for (long waitMs = 0; waitMs <= 6000; waitMs += 250) {
-          ReplicationSimulation group = groupAtFullStrength(count + static_cast<std::uint64_t>(waitMs), count, 1);
-          std::vector<std::size_t> const before = byDuty(group);
+          ReplicationSimulation group = redundantGroup(count + static_cast<std::uint64_t>(waitMs), count, 1);
+          std::vector<std::size_t> const before = membersByRole(group);
           group.offer();
           group.wipe(before[first]);
           group.run(Ms(waitMs));
           bool const redundant = fullyRedundant(group, 1);
-          std::vector<std::size_t> duties = redundant ? byDuty(group) : before;
-          duties.erase(std::remove(duties.begin(), duties.end(), before[first]), duties.end());
+          std::vector<std::size_t> roles = redundant ? membersByRole(group) : before;
+          roles.erase(std::remove(roles.begin(), roles.end(), before[first]), roles.end());
           group.offer();
-          group.wipe(duties[second % duties.size()]);
-          bool const goesOn = commits(group, serveAgainWithin);
-          early += redundant ? 0 : 1;
-          wentOn += !redundant && goesOn ? 1 : 0;
-          EXPECT_TRUE(goesOn || !redundant) << count << ": " << first << ", " << second << " after " << waitMs;
+          group.wipe(roles[second % roles.size()]);
+          bool const continued = commitsWithin(group, commitTimeout);
+          lossesDuringRepair += redundant ? 0 : 1;
+          continuedCount += !redundant && continued ? 1 : 0;
+          EXPECT_TRUE(continued || !redundant) << count << ": " << first << ", " << second << " after " << waitMs;
           EXPECT_EQ(group.complaints, std::vector<std::string>{}) << count << ": " << first << ", " << second;
         }
       }
     }
   }
-  std::printf("second disks lost before the repair was complete: %zu of %zu groups went on\n", wentOn, early);
+  std::printf("second disks lost before the repair was complete: %zu of %zu groups went on\n", continuedCount,
+              lossesDuringRepair);
 }
 
-TEST(SecondLoss, OfTheNewcomerItselfAtEveryStepOfAReplacementIsBorne) {
-  for (std::size_t duty = 0; duty < 3; ++duty) {
+TEST(SecondLoss, TheLossOfANewMemberDuringItsAdmissionIsTolerated) {
+  for (std::size_t role = 0; role < 3; ++role) {
     for (long waitMs = 0; waitMs <= 3000; waitMs += 50) {
-      for (Loss const kind : {Loss::killed, Loss::wiped}) {
-        ReplicationSimulation group = groupAtFullStrength(1 + static_cast<std::uint64_t>(waitMs), 3, 1);
-        std::size_t const lost = byDuty(group)[duty];
+      for (LossKind const kind : {LossKind::killed, LossKind::wiped}) {
+        ReplicationSimulation group = redundantGroup(1 + static_cast<std::uint64_t>(waitMs), 3, 1);
+        std::size_t const lost = membersByRole(group)[role];
         group.wipe(lost);
         group.run(Ms(static_cast<long>(group.network.roll(2500))));
         group.start(lost);
         group.run(Ms(waitMs));
         group.offer();
-        lose(group, lost, kind);
-        EXPECT_TRUE(commits(group, serveAgainWithin)) << duty << " after " << waitMs;
-        EXPECT_EQ(group.complaints, std::vector<std::string>{}) << duty << " after " << waitMs;
+        injectLoss(group, lost, kind);
+        EXPECT_TRUE(commitsWithin(group, commitTimeout)) << role << " after " << waitMs;
+        EXPECT_EQ(group.complaints, std::vector<std::string>{}) << role << " after " << waitMs;
       }
     }
   }
 }
 
-TEST(SecondLoss, AtEveryStepOfALeaveIsBorne) {
+TEST(SecondLoss, ALossAtAnyStepOfAShutdownIsTolerated) {
   for (std::size_t const losses : {1u, 2u}) {
     std::size_t const count = 2 * losses + 2;
     for (std::size_t leaver = 0; leaver < 2 * losses + 1; ++leaver) {
@@ -264,20 +267,20 @@
           if (leaver == other) {
             continue;
           }
-          ReplicationSimulation group = groupAtFullStrength(1 + static_cast<std::uint64_t>(waitMs), count, losses);
-          std::vector<std::size_t> const duties = byDuty(group);
+          ReplicationSimulation group = redundantGroup(1 + static_cast<std::uint64_t>(waitMs), count, losses);
+          std::vector<std::size_t> const roles = membersByRole(group);
           group.offer();
-          group.beginShutdown(duties[leaver]);
-          TimePoint const asked = group.network.now();
+          group.beginShutdown(roles[leaver]);
+          TimePoint const requestedAt = group.network.now();
           group.run(Ms(waitMs));
           group.offer();
-          group.wipe(duties[other]);
-          while (!group.nodes[duties[leaver]].group.mayShutDown() && group.network.now() - asked < Ms(6000)) {
+          group.wipe(roles[other]);
+          while (!group.nodes[roles[leaver]].group.mayShutDown() && group.network.now() - requestedAt < Ms(6000)) {
             group.run(Ms(10));
             group.offer();
           }
-          group.wipe(duties[leaver]);
-          EXPECT_TRUE(commits(group, serveAgainWithin)) << leaver << " left, " << other << " lost after " << waitMs;
+          group.wipe(roles[leaver]);
+          EXPECT_TRUE(commitsWithin(group, commitTimeout)) << leaver << " left, " << other << " lost after " << waitMs;
           EXPECT_EQ(group.complaints, std::vector<std::string>{}) << leaver << " left, " << other << " lost";
         }
       }
@@ -285,28 +288,28 @@
   }
 }
 
-TEST(SecondLoss, OfOneWholeZoneRightAfterARepairIsBorne) {
+TEST(SecondLoss, TheLossOfAZoneRightAfterARepairIsTolerated) {
   for (std::size_t const losses : {1u, 2u}) {
     for (std::size_t zone = 0; zone < 4; ++zone) {
       for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        ReplicationSimulation group = groupAtFullStrength(seed, 8, losses);
-        std::size_t const lost = byDuty(group)[seed % (2 * losses + 1)];
+        ReplicationSimulation group = redundantGroup(seed, 8, losses);
+        std::size_t const lost = membersByRole(group)[seed % (2 * losses + 1)];
         group.wipe(lost);
-        ASSERT_TRUE(untilRedundant(group, losses, Ms(20'000)).has_value());
+        ASSERT_TRUE(waitForRedundancy(group, losses, Ms(20'000)).has_value());
         group.start(lost);
         group.run(Ms(8000));
         group.offer();
         group.wipe(zone);
         group.wipe(zone + 4);
-        EXPECT_TRUE(commits(group, serveAgainWithin)) << losses << " zone " << zone << " seed " << seed;
+        EXPECT_TRUE(commitsWithin(group, commitTimeout)) << losses << " zone " << zone << " seed " << seed;
         EXPECT_EQ(group.complaints, std::vector<std::string>{}) << losses << " zone " << zone << " seed " << seed;
       }
     }
   }
 }
 
-// The full disk is one loss that is over when the other comes: it counts for `lossCountsFor` after it has room again.
-TEST(SecondLoss, AfterADiskThatWasFullForAWhileLeavesTheConfigurationReadable) {
+// A full disk counts as a loss until `lossWindow` after it has room again, which is when the next loss comes.
+TEST(SecondLoss, ALossAfterADiskWasFullLeavesTheConfigurationReadable) {
   constexpr Ms fullFor{4500};
   constexpr Ms downFor{1400};
   for (std::size_t const losses : {1u, 2u}) {
@@ -316,17 +319,17 @@
         for (std::uint64_t seed = 1; seed <= 6 && full != wiped; ++seed) {
           SCOPED_TRACE(testing::Message()
                        << losses << " losses, full " << full << ", wiped " << wiped << ", seed " << seed);
-          ReplicationSimulation group = groupAtFullStrength(seed, machines, losses);
-          std::vector<std::size_t> const duties = byDuty(group);
-          group.nodes[duties[full]].diskFull = true;
-          commitFor(group, fullFor);
-          group.nodes[duties[full]].diskFull = false;
-          commitFor(group, lossCountsFor);
-          group.wipeInPlace(duties[wiped]);
+          ReplicationSimulation group = redundantGroup(seed, machines, losses);
+          std::vector<std::size_t> const roles = membersByRole(group);
+          group.nodes[roles[full]].diskFull = true;
+          proposeFor(group, fullFor);
+          group.nodes[roles[full]].diskFull = false;
+          proposeFor(group, lossWindow);
+          group.wipeInPlace(roles[wiped]);
           for (std::size_t more = 1; more < losses; ++more) {
             std::size_t const other =
                 (wiped + more) % machines == full ? (full + 1) % machines : (wiped + more) % machines;
-            group.wipeInPlace(duties[other]);
+            group.wipeInPlace(roles[other]);
           }
           group.run(downFor);
           for (std::size_t index = 0; index < machines; ++index) {
@@ -334,7 +337,7 @@
               group.start(index);
             }
           }
-          EXPECT_TRUE(commits(group, serveAgainWithin));
+          EXPECT_TRUE(commitsWithin(group, commitTimeout));
           EXPECT_EQ(group.complaints, std::vector<std::string>{});
         }
       }
