--- a/libs/storage/src/record_store.cpp
+++ b/libs/storage/src/record_store.cpp
@@ -79,45 +79,47 @@
 /// The readable records of one ring file.
 struct FileScan {
   bool hasCheckpoint = false;
+  /// A record cannot be decoded, or intact records follow an unreadable one.
   bool hasDamage = false;
   std::uint64_t generation = 0;
   std::uint64_t nextSerial = 0;
   std::size_t endOffset = 0;
+  /// The last readable record is followed by the header of an incomplete one.
   bool hasTornTail = false;
   std::map<std::string, std::string> values;
 };
 
 FileScan scanFile(std::string const& bytes) {
-  FileScan out;
-  std::optional<RecordHeader> const first = readHeader(bytes, 0);
-  out.hasCheckpoint = first.has_value() && first->serial == 0;
-  if (out.hasCheckpoint) {
-    out.generation = first->generation;
+  FileScan result;
+  std::optional<RecordHeader> const firstHeader = readHeader(bytes, 0);
+  result.hasCheckpoint = firstHeader.has_value() && firstHeader->serial == 0;
+  if (result.hasCheckpoint) {
+    result.generation = firstHeader->generation;
   }
   std::size_t offset = 0;
-  while (out.hasCheckpoint) {
+  while (result.hasCheckpoint) {
     std::optional<RecordHeader> const header = readHeader(bytes, offset);
-    if (!header || header->generation != out.generation || header->serial != out.nextSerial) {
+    if (!header || header->generation != result.generation || header->serial != result.nextSerial) {
       break;
     }
     absl::StatusOr<Batch> batch =
         messages::unpack<Batch>(std::string_view(bytes).substr(offset + sizeof(RecordHeader), header->size));
     if (!batch.ok()) {
-      out.hasDamage = true;
+      result.hasDamage = true;
       break;
     }
     for (Pair& pair : batch->pairs) {
-      out.values[pair.key] = std::move(pair.value);
+      result.values[pair.key] = std::move(pair.value);
     }
-    ++out.nextSerial;
+    ++result.nextSerial;
     offset += aligned(sizeof(RecordHeader) + header->size);
   }
-  out.endOffset = offset;
+  result.endOffset = offset;
   RecordHeader unverified;
   if (offset + sizeof unverified <= bytes.size()) {
     std::memcpy(&unverified, bytes.data() + offset, sizeof unverified);
-    out.hasTornTail =
-        unverified.magic == magicNumber && (!out.hasCheckpoint || unverified.generation == out.generation);
+    result.hasTornTail =
+        unverified.magic == magicNumber && (!result.hasCheckpoint || unverified.generation == result.generation);
   }
   for (std::size_t laterOffset = offset + 8; laterOffset + sizeof(RecordHeader) <= bytes.size(); laterOffset += 8) {
     std::uint32_t magic = 0;
@@ -126,14 +128,14 @@
       continue;
     }
     std::optional<RecordHeader> const header = readHeader(bytes, laterOffset);
-    if (header && header->serial > 0 && (!out.hasCheckpoint || header->generation >= out.generation)) {
-      if (!out.hasCheckpoint) {
-        out.generation = std::max(out.generation, header->generation);
+    if (header && header->serial > 0 && (!result.hasCheckpoint || header->generation >= result.generation)) {
+      if (!result.hasCheckpoint) {
+        result.generation = std::max(result.generation, header->generation);
       }
-      out.hasDamage = true;
+      result.hasDamage = true;
     }
   }
-  return out;
+  return result;
 }
 
 }  // namespace
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -159,7 +159,7 @@
     ReplicationSimulation group(7, 4, 0);
     group.nodes[memberIndex].mayFound = false;
     startAll(group);
-    expectNextCommit(group, "with one empty seed");
+    expectNextCommit(group, "with one seed that may not found");
     EXPECT_LT(group.network.now() - TimePoint(std::chrono::hours(1)), Ms(5000)) << memberIndex;
   }
 }
@@ -167,7 +167,7 @@
 TEST(Founding, TwoSeedsFoundAGroupButASingleSeedDoesNot) {
   ReplicationSimulation twoSeeds(5, 2, 0);
   startAll(twoSeeds);
-  expectNextCommit(twoSeeds, "two");
+  expectNextCommit(twoSeeds, "with two seeds");
   EXPECT_EQ(twoSeeds.fleets.size(), 1u);
   ReplicationSimulation loneSeed(5, 1, 0);
   startAll(loneSeed);
@@ -268,7 +268,7 @@
     group.beginShutdown(primary);
     group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
     group.kill(primary, stepUs % 1000 == 0);
-    expectNextCommit(group, "after the end at " + std::to_string(stepUs));
+    expectNextCommit(group, "after the kill during the handover at " + std::to_string(stepUs));
     group.start(primary);
     group.run(Ms(3000));
     expectNextCommit(group, "after the return");
@@ -779,7 +779,7 @@
       }
       group.mendAll();
       group.run(Ms(3000));
-      expectNextCommit(group, "after mending " + std::to_string(from) + std::to_string(to));
+      expectNextCommit(group, "after the end of the cut " + std::to_string(from) + std::to_string(to));
       EXPECT_TRUE(group.complaints.empty());
     }
   }
