--- a/libs/replication/include/limeramp/replication/replication_group.h
+++ b/libs/replication/include/limeramp/replication/replication_group.h
@@ -14,192 +14,204 @@
 #include <variant>
 #include <vector>
 
-/// The control group: one member on each controller. A primary replicates the state to its backups before anything is
-/// acknowledged; witnesses keep only epochs and decide, by single-decree Paxos for each epoch, who replicates next. An
-/// epoch is also the fencing token: a replica that has given its epoch up confirms nothing under it. There is no
-/// replicated log. docs/control.md has the protocol and its argument.
+/// The control group: one member on each controller. The primary replicates the whole state to its backups before a
+/// change is acknowledged. Witnesses store only epoch records and decide, by single-decree Paxos for each epoch, who
+/// the replicas of the next epoch are. The epoch is also the fencing token: a replica that has fenced its epoch
+/// confirms nothing under it. There is no replicated log. docs/control.md describes the protocol and argues its
+/// correctness.
 namespace limeramp::replication {
 
-/// The steady clock of this machine; no two clocks are compared.
+/// A time on this machine's steady clock. Times of two machines are never compared.
 using TimePoint = std::chrono::steady_clock::time_point;
-/// Keys of the record store with their new values.
+/// Keys of the record store and the values to write under them.
 using Puts = std::vector<std::pair<std::string, std::string>>;
 
-/// Times and sizes of the control group. The times count on each member's own steady clock; none of them decides over
-/// safety, only over how soon something is tried.
+/// Timeouts and sizes of the control group. Timeouts are measured on each member's own steady clock. Safety depends on
+/// none of them; they decide only how soon something is tried.
 struct ReplicationOptions {
-  /// Between heartbeats of primary and backups, and between all others.
+  /// Interval of the primary's heartbeats to its backups (of all heartbeats before the group is founded), and of all
+  /// others.
   std::chrono::milliseconds heartbeatMs{250};
   std::chrono::milliseconds idleHeartbeatMs{400};
-  /// A member counts as lost after this silence.
+  /// A member counts as lost after this time without a heartbeat.
   std::chrono::milliseconds lostMs{1200};
-  /// A backup begins to take over after this silence of the primary; each further one waits `successorStaggerMs` more.
+  /// The first backup begins to take over after this time without a heartbeat of the primary; each further backup waits
+  /// `successorStaggerMs` more.
   std::chrono::milliseconds takeoverMs{1500};
-  /// A ballot that has no majority after this time, and a random part of it more, is begun again.
+  /// A ballot without a majority is replaced by a higher one after this time plus a random time of up to as much.
   std::chrono::milliseconds ballotMs{350};
-  /// Messages that are not answered are sent again.
+  /// Messages without an answer are sent again at this interval.
   std::chrono::milliseconds resendMs{200};
-  /// Between two changes of membership that repair a loss.
+  /// Minimum time between an epoch change and a membership change that repairs a loss.
   std::chrono::milliseconds repairMs{300};
-  /// A witness is replaced after this silence.
+  /// A witness is replaced after this time without a heartbeat.
   std::chrono::milliseconds witnessGoneMs{2000};
-  /// Members are spread over more zones after so long a calm.
+  /// Minimum time without an epoch change before members are spread over more zones.
   std::chrono::milliseconds spreadMs{5000};
-  /// A write that takes longer makes the member unhealthy.
+  /// A disk write that takes this long or longer makes the member unhealthy.
   std::chrono::milliseconds diskSlowMs{1000};
-  /// A member whose write failed writes all that it keeps anew after this time, and again until it succeeds.
+  /// After a failed write a member writes all its records again at this interval until it succeeds.
   std::chrono::milliseconds diskRetryMs{1000};
-  /// At the first start founders begin one after another, at this interval.
+  /// At the first start the founders try to found the group one after another, in the order of their addresses and at
+  /// this interval.
   std::chrono::milliseconds founderStaggerMs{700};
+  /// See `takeoverMs`.
   std::chrono::milliseconds successorStaggerMs{500};
-  /// A member that is told to end waits no longer than this for its successors; below the platform's grace time of 6 s.
+  /// A member that is shutting down waits at most this long to be replaced. Below the platform's grace time of 6 s.
   std::chrono::milliseconds shutdownGraceMs{5000};
-  /// Copies of the state: with fewer, nothing is acknowledged; more than the second number are not made.
+  /// Number of replicas, the primary included. With fewer than the minimum no epoch is proposed, so no change is
+  /// acknowledged; no more than the maximum are chosen.
   std::size_t minReplicas = 2;
   std::size_t maxReplicas = 2;
-  /// Members that vote. A majority of them must keep its disks.
+  /// Maximum number of witnesses. A majority of the witnesses must keep its disks.
   std::size_t maxWitnesses = 3;
 };
 
-/// For a group that bears the loss of so many machines at once: n + 1 replicas, 2n + 1 witnesses, n from 1 to 4.
+/// Options of a group that tolerates the loss of n = `machineLosses` machines at once: up to n + 1 replicas and 2n + 1
+/// witnesses, n from 1 to 4. 0 counts as 1, except that the primary alone may then acknowledge changes.
 ReplicationOptions optionsFor(std::size_t machineLosses);
 
-/// A controller. The id belongs to its disk: an empty disk is another member at the same address.
+/// A controller. The id belongs to the disk: a controller that starts with an empty disk is another member at the same
+/// address.
 struct Member {
   std::string id;
   std::string address;
   std::string zone;
 };
 
-/// The first event: what the disk holds.
+/// The first event, with the records on the disk. Events before it are ignored.
 struct Start {
   Member self;
   std::map<std::string, std::string> stored;
+  /// Seed of the member's random source.
   std::uint64_t seed = 0;
-  /// The member keeps nothing; it only learns who leads.
+  /// The member stores nothing and takes no part in the protocol; it only tracks the decided epoch.
   bool diskless = false;
-  /// Addresses of the members that may found the group, the same at all of them.
+  /// Addresses of the members that may found the group. All members must be given the same list.
   std::vector<std::string> founders{};
 };
-/// The controllers that discovery knows now.
+/// The controllers that discovery lists now.
 struct KnownMembers {
   std::vector<Member> members;
+  /// Whether a member without a decided epoch may vote on the first one.
   bool mayFound = false;
 };
-/// A message of another member.
+/// A message from another member.
 struct MessageReceived {
   std::string from;
   std::string address;
   messages::Message message;
 };
-/// What came of a Persist, or of another write to the same disk (token 0). Not good: the member steps down and takes no
-/// part until it has written all that it keeps anew.
+/// The result of a Persist, or of another write to the same disk (token 0). After a failed write (`good` is false) the
+/// member steps down and takes no part in the protocol until it has written all its records again.
 struct PersistFinished {
   std::uint64_t token = 0;
   bool good = false;
 };
-/// On the primary: replicate this state. One at a time; see busy().
+/// Asks the primary to replicate this state. One proposal at a time; see busy().
 struct Proposal {
   std::uint64_t ticket = 0;
   messages::State state;
 };
-/// Time has passed. To be sent every 20 ms or so.
+/// Lets timeouts expire. The caller sends it about every 20 ms.
 struct Tick {};
-/// The process will end: hand leadership and vote over.
+/// The process will end: the member hands over its leadership and its vote.
 struct BeginShutdown {};
-/// An operator's word that the witnesses' majority is gone for good: begin a group from this state.
+/// Forces a new group from this state or the member's own, whichever is newer. For operators, once a majority of the
+/// witnesses is lost for good.
 struct ForceNewGroup {
   std::string fleet;
   messages::State state;
 };
 
-/// All that can happen to a member.
+/// The input of a step.
 using GroupEvent =
     std::variant<Start, KnownMembers, MessageReceived, PersistFinished, Proposal, Tick, BeginShutdown, ForceNewGroup>;
 
-/// A message for another member. It may be lost.
+/// Send a message to another member. It may be lost.
 struct Send {
   std::string to;
   std::string address;
   messages::Message message;
 };
-/// Sync these values to the disk, in the order of the tokens, and answer with PersistFinished. After a write that
-/// failed, all are refused until one with `rewrite` has succeeded.
+/// Sync these values to the disk, in the order of the tokens, and answer with PersistFinished. After a failed write the
+/// store must refuse all further ones until one with `rewrite` has succeeded.
 struct Persist {
   std::uint64_t token = 0;
   Puts puts;
-  /// Write these together with all values that were synced before, apart from where those stand.
+  /// Write these values and all that were synced before to a new place, apart from the present one.
   bool rewrite = false;
 };
-/// The proposal is on the disks of the primary and of all backups.
+/// The proposal is committed: the disks of the primary and of all backups have synced it.
 struct Committed {
   std::uint64_t ticket = 0;
   messages::State state;
 };
-/// The leadership ended before the proposal was committed: a later primary may have it or not.
+/// The proposal was not taken, or leadership ended before it was committed. In the second case a later primary's state
+/// may contain it or not.
 struct OutcomeUnknown {
   std::uint64_t ticket = 0;
 };
-/// This member leads; `state` is the newest committed one.
+/// This member is now the active primary; `state` is the newest committed state.
 struct BecamePrimary {
   std::uint64_t epoch = 0;
   messages::State state;
 };
-/// This member leads no longer.
+/// This member is no longer the active primary.
 struct SteppedDown {};
-/// An event for the log.
+/// An event for the log, with its details.
 struct LogEntry {
   logging::Event event;
   std::string about;
 };
 
-/// The answer to ForceNewGroup; an empty refusal means that it was done.
+/// The answer to ForceNewGroup. An empty `refusal` means that the new group is in force.
 struct NewGroupForced {
   std::string refusal;
 };
 
-/// All that a step can ask for.
+/// The output of a step, to be carried out by the caller.
 using GroupEffect =
     std::variant<Send, Persist, Committed, OutcomeUnknown, BecamePrimary, SteppedDown, NewGroupForced, LogEntry>;
 
-/// How far a member that was told to end (Retire) has come with its leave.
+/// How far the shutdown of a member (BeginShutdown) has come.
 enum class ShutdownProgress {
-  /// It was not told to end.
+  /// BeginShutdown was not received.
   notRequested,
-  /// It is primary or backup, and no decided epoch names another one in its place yet.
+  /// The member is primary or backup, and no decided epoch names another one in its place yet.
   replicaNotReplaced,
-  /// It is a witness, another machine is heard that could vote in its place, and no decided epoch says so yet.
+  /// The member is a witness, and no decided epoch names another one in its place yet although one is alive.
   voteNotReplaced,
-  /// The epoch without it is decided, but its primary and a majority of its witnesses have not stored it yet.
+  /// The epoch without the member is decided, but not yet stored by its primary and a majority of its witnesses.
   epochNotSpread,
-  /// Nothing is lost with it: it may end.
+  /// The group no longer depends on the member: the process may end.
   done,
-  /// The grace time is over, with the leave incomplete: it ends anyway.
+  /// `ReplicationOptions::shutdownGraceMs` is over before the shutdown was complete: the process ends anyway.
   graceTimeOver,
 };
 
 /// The words that the status page shows.
 std::string_view nameOf(ShutdownProgress progress);
 
-/// What a member knows of its own disk.
+/// The condition of a member's disk.
 enum class DiskCondition {
-  /// It keeps nothing, and therefore neither votes nor replicates.
+  /// The member runs without a disk, and therefore neither votes nor replicates.
   none,
   usable,
-  /// A write takes longer than `ReplicationOptions::diskSlowMs`.
+  /// A write has been pending for at least `ReplicationOptions::diskSlowMs`.
   overdue,
-  /// A write failed: the member neither votes nor replicates.
+  /// A write failed or the stored records cannot be parsed: the member neither votes nor replicates.
   failed,
 };
 
 /// The words that the status page shows.
 std::string_view nameOf(DiskCondition condition);
 
-/// One member, as a pure state machine: it reads no clock, disk or socket.
+/// One member of the group as a pure state machine: it reads no clock, disk or socket.
 ///
-/// Guarantees, as long as disks keep what they have synced and a majority of the last witnesses keeps its disks: of one
-/// epoch there is at most one primary that commits; what was committed is part of every later primary's state. Copies
-/// are independent, for the model checker. Not safe for use by several threads.
+/// Invariants, provided that disks keep what they have synced and a majority of the last witnesses keeps its disks:
+/// each epoch has at most one primary that commits, and every later primary's state contains all committed changes.
+/// Copies are independent, for the model checker. Not thread-safe.
 class ReplicationGroup {
  public:
   explicit ReplicationGroup(ReplicationOptions const& options);
@@ -209,37 +221,42 @@
   ReplicationGroup& operator=(ReplicationGroup const&);
   ReplicationGroup& operator=(ReplicationGroup&&) noexcept;
 
-  /// Takes one event. Effects are carried out in their order; what depends on the disk comes after PersistFinished.
+  /// Handles one event. The caller carries out the effects in their order. Effects that depend on a write are returned
+  /// by the step that handles its PersistFinished.
   std::vector<GroupEffect> step(TimePoint now, GroupEvent const& event);
 
   /// Whether this member is the primary and may commit.
   bool active() const;
-  /// Whether a proposal is under way.
+  /// Whether a proposal is being replicated.
   bool busy() const;
-  /// Whether the disk failed or hangs.
+  /// Whether the disk failed or a write is overdue. False for a member without a disk.
   bool unhealthy() const;
+  /// The condition of this member's disk.
   DiskCondition diskCondition() const;
-  /// Whether this witness was heard lately and says that it is neither unhealthy nor leaving.
+  /// Whether a heartbeat of this witness came within `ReplicationOptions::witnessGoneMs` and said that it is neither
+  /// unhealthy nor shutting down. For this member itself, whether its disk is healthy.
   bool canVote(TimePoint now, std::string const& witness) const;
-  /// What a leave still waits for, as of the last step.
+  /// What the shutdown still waits for, as of the last step.
   ShutdownProgress shutdownProgress() const;
-  /// True once a member that was told to end may do so: its leave is done, or its grace time is over.
+  /// Whether the process may end: the shutdown is complete or its grace time is over.
   bool mayShutDown() const;
+  /// This member's id.
   std::string const& id() const;
   /// The newest epoch that this member knows to be decided; epoch 0 before the group is founded.
   messages::EpochRecord const& decided() const;
+  /// The replicated state as this member holds it; its newest change may not be committed.
   messages::State const& state() const;
-  /// The highest epoch that this member has given up.
+  /// The highest epoch that this member has fenced.
   std::uint64_t fenced() const;
-  /// Up to this moment this member was certainly the only primary.
+  /// The time up to which this member was certainly the only active primary; nothing if it does not lead.
   std::optional<TimePoint> leadershipConfirmedAt() const;
-  /// Where the primary is reached; empty if it is not known.
+  /// The primary's address; empty if it is not known, or if this member is the primary and unhealthy.
   std::string primaryAddress() const;
-  /// Since the member's last heartbeat; nothing if none came.
+  /// Time since the last heartbeat of `member`; nothing if none came.
   std::optional<std::chrono::milliseconds> sinceHeartbeatMs(TimePoint now, std::string const& member) const;
 
-  /// A hash of everything that decides what later steps do, for the model checker. Times count as differences from now;
-  /// the random source and the numbers of past disk writes are left out.
+  /// A hash of all state that later steps depend on, for the model checker. Times count as differences from `now`; the
+  /// random source and the tokens of past disk writes are left out.
   std::uint64_t digest(TimePoint now) const;
 
  private:
--- a/libs/replication/src/acceptor.h
+++ b/libs/replication/src/acceptor.h
@@ -7,18 +7,21 @@
 
 namespace limeramp::replication {
 
-/// What a member keeps on its disk about epochs: the last decided record, and its vote on the next one. It is the
-/// acceptor of single-decree Paxos, with one decision for each epoch.
+/// The acceptor of single-decree Paxos, with one instance for each epoch. Holds what a member stores about epochs: the
+/// last decided record and its vote on the next one.
 ///
-/// Guarantees, as long as every change is synced before its answer is sent: it promises ballots in rising order,
-/// accepts nothing below its promise, and reports the record that it accepted last, with that record's ballot. So a
-/// majority of the decided record's witnesses decides at most one next record.
+/// Invariants, provided that every change is synced before the answer is sent: the acceptor promises ballots in
+/// ascending order, accepts no ballot below its promise, and reports the last record that it accepted with that
+/// record's ballot. So a majority of the decided record's witnesses decides at most one next record.
 struct Acceptor {
   static constexpr char const* name = "Vote";
+  /// The last decided record; epoch 0 before the group is founded.
   messages::EpochRecord decided;
-  /// The highest epoch under which this member acknowledges and confirms nothing more.
+  /// The highest epoch under which this member acknowledges and confirms nothing more. Never decreases.
   std::uint64_t fenced = 0;
+  /// The highest ballot promised for the next epoch.
   messages::Ballot promisedBallot;
+  /// The last accepted record of the next epoch, and the ballot under which it was accepted.
   messages::Ballot acceptedBallot;
   std::optional<messages::EpochRecord> accepted;
 
@@ -26,13 +29,14 @@
   bool isFenced() const { return decided.epoch > 0 && fenced >= decided.epoch; }
   std::uint64_t highestRound() const;
 
-  /// Promises to take part in no lower ballot. Where the answer is granted, sync this before sending it.
+  /// Phase 1: promises to take part in no lower ballot. A granted answer is sent only after the acceptor is synced.
   messages::PrepareResponse prepare(messages::Ballot const& ballot);
-  /// Accepts the record unless a higher ballot was promised. Where the answer is granted, sync this before sending it.
+  /// Phase 2: accepts the record unless a higher ballot was promised. A granted answer is sent only after the acceptor
+  /// is synced.
   messages::AcceptResponse accept(messages::Ballot const& ballot, messages::EpochRecord const& record);
-  /// Takes over a record that was decided; the vote on it is settled and a vote on the next one begins.
+  /// Adopts a decided record and clears the vote, which now applies to the epoch after it.
   void adopt(messages::EpochRecord const& record);
-  /// Gives up the decided epoch for good.
+  /// Fences the decided epoch. It cannot be undone.
   void fence();
 
   template <typename V, typename T>
--- a/libs/replication/src/disk.cpp
+++ b/libs/replication/src/disk.cpp
@@ -1,4 +1,4 @@
-// The member's disk: what it writes, what it reads at its start, and what follows a write that failed.
+// Persistence of a member: its records, their restoration at the start, and recovery from a failed write.
 #include "replication_group_impl.h"
 
 #include <algorithm>
@@ -34,9 +34,9 @@
   restore("state", stored, state);
 }
 
-std::uint64_t ReplicationGroup::Impl::persist(bool withVote, bool withState, std::vector<GroupEffect> then,
+std::uint64_t ReplicationGroup::Impl::persist(bool withVote, bool withState, std::vector<GroupEffect> effectsOnceStored,
                                               bool rewrite) {
-  std::uint64_t const token = ++lastPersist;
+  std::uint64_t const token = ++lastPersistToken;
   Persist effect{token, {}, rewrite};
   if (withVote) {
     store("vote", acceptor, effect.puts);
@@ -45,24 +45,24 @@
     store("state", state, effect.puts);
   }
   if (withVote && acceptor.isFenced()) {
-    fencePersist = token;
+    fencePersistToken = token;
   }
-  persisting.emplace(token, now);
-  persistedEpochs.emplace(token, withVote ? acceptor.decided.epoch : 0);
-  afterPersist.emplace(token, std::move(then));
+  pendingWrites.emplace(token, now);
+  pendingWriteEpochs.emplace(token, withVote ? acceptor.decided.epoch : 0);
+  deferredEffects.emplace(token, std::move(effectsOnceStored));
   effects.emplace_back(std::move(effect));
   return token;
 }
 
 void ReplicationGroup::Impl::on(PersistFinished const& event) {
-  std::map<std::uint64_t, std::vector<GroupEffect>>::iterator const found = afterPersist.find(event.token);
-  bool const own = found != afterPersist.end();
-  std::vector<GroupEffect> const then = own ? std::move(found->second) : std::vector<GroupEffect>{};
-  std::uint64_t const epochOnDisk = own ? persistedEpochs[event.token] : 0;
-  if (own) {
-    afterPersist.erase(found);
-    persisting.erase(event.token);
-    persistedEpochs.erase(event.token);
+  std::map<std::uint64_t, std::vector<GroupEffect>>::iterator const found = deferredEffects.find(event.token);
+  bool const knownToken = found != deferredEffects.end();
+  std::vector<GroupEffect> const effectsOnceStored = knownToken ? std::move(found->second) : std::vector<GroupEffect>{};
+  std::uint64_t const epochOnDisk = knownToken ? pendingWriteEpochs[event.token] : 0;
+  if (knownToken) {
+    deferredEffects.erase(found);
+    pendingWrites.erase(event.token);
+    pendingWriteEpochs.erase(event.token);
   }
   if (!event.good) {
     onWriteFailed(event.token);
@@ -72,16 +72,16 @@
     onRewritten(epochOnDisk);
     return;
   }
-  if (!own || storageUnusable()) {
+  if (!knownToken || storageUnusable()) {
     return;
   }
   if (epochOnDisk > storedEpoch) {
     storedEpoch = epochOnDisk;
-    tellLeavingMembers();
+    heartbeatLeavingMembers();
   }
-  for (GroupEffect const& effect : then) {
-    if (Send const* const later = std::get_if<Send>(&effect)) {
-      send(later->to, later->message);
+  for (GroupEffect const& effect : effectsOnceStored) {
+    if (Send const* const deferredSend = std::get_if<Send>(&effect)) {
+      send(deferredSend->to, deferredSend->message);
     } else {
       effects.push_back(effect);
     }
@@ -91,8 +91,8 @@
   }
 }
 
-// What the failed write held is in memory; it is not known whether it is on the disk. Nothing that depends on it has
-// been said to anybody.
+// The values of the failed write are in memory; whether they are on the disk is unknown. No message that depends on
+// them was sent.
 void ReplicationGroup::Impl::onWriteFailed(std::uint64_t token) {
   if (storage == StorageState::usable) {
     storage = StorageState::failed;
@@ -100,31 +100,31 @@
     endLeadership();
     proposal = {};
     membershipChangeDue = false;
-    rewriteAt = now + options.diskRetryMs;
+    rewriteDueAt = now + options.diskRetryMs;
   } else if (token == rewriteToken) {
     rewriteToken.reset();
-    rewriteAt = now + options.diskRetryMs;
+    rewriteDueAt = now + options.diskRetryMs;
   }
 }
 
-// Everything is written anew, not only what failed: the store takes single values again only once it holds all that
-// this member has promised, given up and confirmed.
+// Writes all records again, not only the failed ones: the store accepts single values again only once it holds all that
+// this member has promised, fenced and confirmed.
 void ReplicationGroup::Impl::rewriteWhenDue() {
-  if (storage != StorageState::failed || rewriteToken || !persisting.empty() || now < rewriteAt) {
+  if (storage != StorageState::failed || rewriteToken || !pendingWrites.empty() || now < rewriteDueAt) {
     return;
   }
   schemasStored.clear();
   rewriteToken = persist(true, true, {}, true);
 }
 
-// From here on the member is what a restart with this disk would make of it. An epoch that was learnt during the write
-// is stored on its own.
+// After the rewrite the member is in the state that a restart from this disk would give it. An epoch that was learnt
+// during the rewrite is stored by a separate write.
 void ReplicationGroup::Impl::onRewritten(std::uint64_t epochOnDisk) {
   rewriteToken.reset();
   storage = StorageState::usable;
   storedEpoch = std::max(storedEpoch, epochOnDisk);
   highestRound = std::max(highestRound, acceptor.highestRound());
-  effects.emplace_back(LogEntry{logging::Event::diskRecovered, "vote and state are written anew"});
+  effects.emplace_back(LogEntry{logging::Event::diskRecovered, "all records were written again"});
   if (acceptor.decided.epoch > epochOnDisk) {
     persist(true, false, {});
   }
@@ -132,15 +132,15 @@
   heartbeatAll();
 }
 
-void ReplicationGroup::Impl::digestPersisting(messages::StateDigest& digest) const {
-  digest.add(persisting.size());
-  for (std::pair<std::uint64_t const, TimePoint> const& entry : persisting) {
-    digest.add(lastPersist - entry.first);
+void ReplicationGroup::Impl::digestPendingWrites(messages::StateDigest& digest) const {
+  digest.add(pendingWrites.size());
+  for (std::pair<std::uint64_t const, TimePoint> const& entry : pendingWrites) {
+    digest.add(lastPersistToken - entry.first);
     digest.add(entry.second);
     digest.add(entry.first == replicator.persistToken());
-    digest.add(entry.first == fencePersist);
-    digest.add(persistedEpochs.at(entry.first));
-    for (GroupEffect const& effect : afterPersist.at(entry.first)) {
+    digest.add(entry.first == fencePersistToken);
+    digest.add(pendingWriteEpochs.at(entry.first));
+    for (GroupEffect const& effect : deferredEffects.at(entry.first)) {
       if (Send const* const send = std::get_if<Send>(&effect)) {
         digest.add(send->to);
         digest.add(send->message);
--- a/libs/replication/src/epoch_change.cpp
+++ b/libs/replication/src/epoch_change.cpp
@@ -21,19 +21,20 @@
     return;
   }
   if (acceptor.decided.epoch > 0 && record.fleet != acceptor.decided.fleet) {
-    effects.emplace_back(LogEntry{logging::Event::peerUnexpected, "a record of fleet " + record.fleet});
+    effects.emplace_back(LogEntry{logging::Event::peerUnexpected, "epoch record of another fleet: " + record.fleet});
     return;
   }
   effects.emplace_back(
       LogEntry{record.epoch == 1 ? logging::Event::founded : logging::Event::epochGranted,
                std::to_string(record.epoch) + " primary " + record.primary + " backups " + joined(record.backups)});
-  bool const keepsTicket = record.primary == self.id;
+  // A primary that stays primary keeps its proposal, which beginLeadership() replicates again under the new epoch.
+  bool const leadsNextEpoch = record.primary == self.id;
   std::optional<std::uint64_t> const keptTicket = ticket;
-  if (keepsTicket) {
+  if (leadsNextEpoch) {
     ticket.reset();
   }
   endLeadership();
-  ticket = keepsTicket ? keptTicket : std::nullopt;
+  ticket = leadsNextEpoch ? keptTicket : std::nullopt;
   proposal = {};
   acceptor.adopt(record);
   voteMonitor.epochDecided();
@@ -53,8 +54,8 @@
   confirmation.withdraw();
 }
 
-// The primary leaves its own epoch, so that the next one may name other members. Between two changes, as a
-// rule: the end of a change begins it too, or a stream of changes would hold it up for as long as it lasts.
+// Fences the primary's own epoch, so that the next one may name other members. Usually this happens between two
+// changes. checkCommit() also calls it after a commit, or a stream of changes would delay it for as long as it lasts.
 void ReplicationGroup::Impl::beginMembershipChange() {
   fenceSelf();
   persist(true, false, {});
@@ -62,19 +63,20 @@
 }
 
 void ReplicationGroup::Impl::tickPrimary() {
-  if (leadership != Leadership::none && !replicator.waitingFor().empty() &&
+  if (leadership != Leadership::none && !replicator.pendingBackups().empty() &&
       now - replicator.sentAt() >= options.resendMs) {
     sendLeadershipSyncs();
   }
   confirmLeadership();
   reportMissingVotes();
   bool const epochStable = now - epochStableSince >= options.lostMs;
-  bool const backupGone = epochStable && !detector.allAlive(now, acceptor.decided.backups, options.lostMs);
+  bool const backupUnavailable = epochStable && !detector.allAlive(now, acceptor.decided.backups, options.lostMs);
   bool const transfersLeadership = shuttingDown() && !planner().backupsFor(self.id).empty();
   membershipChangeDue = !acceptor.isFenced() && !unhealthy() &&
-                        (backupGone || transfersLeadership || witnessesNeedChange()) && planner().canFormGroup();
-  if (membershipChangeDue && (backupGone || !ticket)) {
-    if (backupGone) {
+                        (backupUnavailable || transfersLeadership || membershipNeedsChange()) &&
+                        planner().canFormGroup();
+  if (membershipChangeDue && (backupUnavailable || !ticket)) {
+    if (backupUnavailable) {
       effects.emplace_back(LogEntry{logging::Event::backupLost, joined(acceptor.decided.backups)});
     }
     beginMembershipChange();
@@ -83,14 +85,16 @@
   }
 }
 
-// Takes over a primary that has been silent: the backups in their order, one after the other.
+// Takes over from a primary that is not alive to the failure detector. The backups try in the order of the record, each
+// `successorStaggerMs` after the one before.
 void ReplicationGroup::Impl::tickBackup() {
   std::vector<std::string> const& successors = acceptor.decided.backups;
-  Ms const patience =
+  Ms const takeoverTimeout =
       options.takeoverMs +
       options.successorStaggerMs * (std::find(successors.begin(), successors.end(), self.id) - successors.begin());
-  bool const gone = now - epochStableSince >= patience && !isAlive(acceptor.decided.primary, patience);
-  if (!acceptor.isFenced() && !unhealthy() && gone && planner().canFormGroup()) {
+  bool const primaryUnavailable =
+      now - epochStableSince >= takeoverTimeout && !isAlive(acceptor.decided.primary, takeoverTimeout);
+  if (!acceptor.isFenced() && !unhealthy() && primaryUnavailable && planner().canFormGroup()) {
     fenceSelf();
     persist(true, false, {});
     proposal.stage = ProposalStage::choosing;
@@ -99,7 +103,7 @@
   }
 }
 
-void ReplicationGroup::Impl::report(std::optional<LogEntry> const& entry) {
+void ReplicationGroup::Impl::appendLogEntry(std::optional<LogEntry> const& entry) {
   if (entry) {
     effects.emplace_back(*entry);
   }
@@ -109,16 +113,16 @@
   if (now - epochStableSince < options.witnessGoneMs || now - startedAt < options.witnessGoneMs) {
     return;
   }
-  std::vector<std::string> unusable;
+  std::vector<std::string> unavailable;
   for (std::string const& witness : acceptor.decided.witnesses) {
     if (!isAlive(witness, options.witnessGoneMs)) {
-      unusable.push_back(witness);
+      unavailable.push_back(witness);
     }
   }
-  report(voteMonitor.witnessesChecked(unusable));
+  appendLogEntry(voteMonitor.witnessesChecked(unavailable));
 }
 
-bool ReplicationGroup::Impl::witnessesNeedChange() const {
+bool ReplicationGroup::Impl::membershipNeedsChange() const {
   if (now - startedAt < options.lostMs || now - epochStableSince < options.repairMs) {
     return false;
   }
@@ -127,7 +131,7 @@
          (now - epochStableSince >= options.spreadMs && planner().spreadWanted(choice));
 }
 
-bool ReplicationGroup::Impl::partnersAlive() const {
+bool ReplicationGroup::Impl::proposedReplicasAlive() const {
   return isAlive(proposal.primary, options.lostMs) && detector.allAlive(now, proposal.backups, options.lostMs);
 }
 
@@ -138,8 +142,8 @@
   }
 }
 
-void ReplicationGroup::Impl::pushProposal() {
-  if (persisting.contains(fencePersist) && proposal.stage == ProposalStage::choosing) {
+void ReplicationGroup::Impl::advanceProposal() {
+  if (pendingWrites.contains(fencePersistToken) && proposal.stage == ProposalStage::choosing) {
     return;
   }
   switch (proposal.stage) {
@@ -149,22 +153,22 @@
       chooseMembers();
       return;
     case ProposalStage::syncing:
-      if (!partnersAlive()) {
+      if (!proposedReplicasAlive()) {
         proposal.stage = ProposalStage::choosing;
-        pushProposal();
+        advanceProposal();
       } else if (now - proposal.sentAt >= options.resendMs) {
         sendFencedSyncs();
       }
       return;
     case ProposalStage::preparing:
     case ProposalStage::accepting:
-      pushBallot();
+      advanceBallot();
       return;
   }
 }
 
-// Names the members of the next epoch and hands them the state. A leaving replica names another primary, and itself as
-// a backup only where the next primary would have none.
+// Chooses the members of the next epoch and sends them the state. A replica that is shutting down names another
+// primary, and itself as a backup only if the next primary would otherwise have too few.
 void ReplicationGroup::Impl::chooseMembers() {
   bool const transfersLeadership = shuttingDown();
   std::vector<std::string> backups = planner().backupsFor(self.id);
@@ -195,15 +199,15 @@
   }
 }
 
-void ReplicationGroup::Impl::pushBallot() {
+void ReplicationGroup::Impl::advanceBallot() {
   if (now < proposal.retryAt && now - proposal.sentAt >= options.resendMs) {
     sendBallot();
   } else if (now >= proposal.retryAt) {
     effects.emplace_back(LogEntry{logging::Event::ballotLost, std::to_string(proposal.ballot.round)});
-    report(voteMonitor.ballotLost(proposal, acceptor.nextEpoch(), quorum()));
-    if (acceptor.decided.epoch > 0 && !partnersAlive()) {
+    appendLogEntry(voteMonitor.ballotLost(proposal, acceptor.nextEpoch(), quorum()));
+    if (acceptor.decided.epoch > 0 && !proposedReplicasAlive()) {
       proposal.stage = ProposalStage::choosing;
-      pushProposal();
+      advanceProposal();
     } else {
       beginBallot();
     }
@@ -242,7 +246,7 @@
   }
 }
 
-void ReplicationGroup::Impl::beginAccept() {
+void ReplicationGroup::Impl::beginAcceptPhase() {
   proposal.accept();
   sendBallot();
 }
@@ -280,7 +284,7 @@
   }
   proposal.countPrepareResponse(from, message);
   if (proposal.grantedBy.size() >= quorum()) {
-    beginAccept();
+    beginAcceptPhase();
   }
 }
 
--- a/libs/replication/src/epoch_proposal.cpp
+++ b/libs/replication/src/epoch_proposal.cpp
@@ -5,16 +5,16 @@
 void EpochProposal::prepare(messages::Ballot const& newBallot, TimePoint retry) {
   stage = ProposalStage::preparing;
   ballot = newBallot;
-  best.reset();
-  bestBallot = {};
+  highestAccepted.reset();
+  highestAcceptedBallot = {};
   grantedBy.clear();
   retryAt = retry;
 }
 
 void EpochProposal::countPrepareResponse(std::string const& from, messages::PrepareResponse const& response) {
-  if (response.accepted && (!best || response.acceptedBallot > bestBallot)) {
-    best = response.accepted;
-    bestBallot = response.acceptedBallot;
+  if (response.accepted && (!highestAccepted || response.acceptedBallot > highestAcceptedBallot)) {
+    highestAccepted = response.accepted;
+    highestAcceptedBallot = response.acceptedBallot;
   }
   grantedBy.insert(from);
 }
@@ -22,8 +22,8 @@
 void EpochProposal::accept() {
   stage = ProposalStage::accepting;
   grantedBy.clear();
-  if (best) {
-    record = *best;
+  if (highestAccepted) {
+    record = *highestAccepted;
   }
 }
 
@@ -39,8 +39,8 @@
   digest.add(sentAt);
   digest.add(ballot);
   digest.add(record);
-  digest.add(bestBallot);
-  digest.add(best);
+  digest.add(highestAcceptedBallot);
+  digest.add(highestAccepted);
   digest.add(voters);
   digest.add(grantedBy);
   digest.add(retryAt);
--- a/libs/replication/src/epoch_proposal.h
+++ b/libs/replication/src/epoch_proposal.h
@@ -12,39 +12,46 @@
 
 namespace limeramp::replication {
 
+/// The stages of an epoch change, in their order.
 enum class ProposalStage {
+  /// No epoch change is in progress.
   none,
   /// The proposer is fenced and chooses the members of the next epoch.
   choosing,
-  /// It hands its state to the replicas that it will name, and waits until they have synced it.
+  /// The proposer sends its state to the replicas that it will name and waits until all of them have synced it.
   syncing,
-  /// First phase of a ballot: the witnesses promise.
+  /// Phase 1 of a ballot: the proposer collects promises from a majority of the witnesses.
   preparing,
-  /// Second phase: they accept.
+  /// Phase 2: the proposer collects acceptances from a majority of the witnesses.
   accepting,
 };
 
-/// A replica's attempt to have the next epoch decided: the members that it wants, and the ballot under way.
+/// The proposer of single-decree Paxos: a replica's attempt to have the next epoch decided.
 struct EpochProposal {
   ProposalStage stage = ProposalStage::none;
+  /// The replicas that this member wants in the next epoch.
   std::string primary;
   std::vector<std::string> backups;
+  /// Replicas that have not yet synced the state sent under `syncToken`.
   std::set<std::string> toSync;
   std::uint64_t syncToken = 0;
   TimePoint sentAt{};
   messages::Ballot ballot;
+  /// The record that phase 2 asks the witnesses to accept.
   messages::EpochRecord record;
-  messages::Ballot bestBallot;
-  std::optional<messages::EpochRecord> best;
+  /// The accepted record of the highest ballot that the promises report.
+  messages::Ballot highestAcceptedBallot;
+  std::optional<messages::EpochRecord> highestAccepted;
   std::vector<std::string> voters;
+  /// Voters that granted the current phase.
   std::set<std::string> grantedBy;
   TimePoint retryAt{};
 
-  /// Begins the first phase of a new ballot.
+  /// Begins phase 1 of a new ballot. A ballot without a majority by `retry` is replaced by a higher one.
   void prepare(messages::Ballot const& newBallot, TimePoint retry);
-  /// Counts a promise, and keeps the accepted record of the highest ballot: that one may have been decided already.
+  /// Counts a promise and keeps the accepted record of the highest ballot, which may already have been decided.
   void countPrepareResponse(std::string const& from, messages::PrepareResponse const& response);
-  /// Begins the second phase, with the record that was found accepted if there is one.
+  /// Begins phase 2, with the accepted record from the promises if there is one.
   void accept();
 
   void digest(messages::StateDigest& digest) const;
--- a/libs/replication/src/failure_detector.cpp
+++ b/libs/replication/src/failure_detector.cpp
@@ -5,7 +5,8 @@
 namespace limeramp::replication {
 namespace {
 
-constexpr std::chrono::seconds forgottenAfter{60};
+// Silence after which a member that discovery no longer lists is forgotten.
+constexpr std::chrono::seconds forgetAfter{60};
 
 }  // namespace
 
@@ -13,17 +14,17 @@
   return std::max(heartbeat.epoch, heartbeat.decided.epoch);
 }
 
-void FailureDetector::know(TimePoint now, std::vector<Member> const& listed,
-                           std::function<bool(std::string const&)> const& keep) {
-  for (Member const& member : listed) {
+void FailureDetector::updateMembers(TimePoint now, std::vector<Member> const& discovered,
+                                    std::function<bool(std::string const&)> const& keep) {
+  for (Member const& member : discovered) {
     if (member.id != self_) {
       members_[member.id].member = member;
     }
   }
   std::erase_if(members_, [&](std::pair<std::string const, MemberStatus> const& entry) {
-    bool const isListed =
-        std::any_of(listed.begin(), listed.end(), [&](Member const& member) { return member.id == entry.first; });
-    return !isListed && now - entry.second.lastHeartbeatAt > forgottenAfter && !keep(entry.first);
+    bool const isDiscovered = std::any_of(discovered.begin(), discovered.end(),
+                                          [&](Member const& member) { return member.id == entry.first; });
+    return !isDiscovered && now - entry.second.lastHeartbeatAt > forgetAfter && !keep(entry.first);
   });
 }
 
@@ -31,7 +32,7 @@
                                                messages::Heartbeat const& heartbeat) {
   MemberStatus& entry = members_[id];
   entry.lastHeartbeatAt = now;
-  entry.ever = true;
+  entry.heartbeatReceived = true;
   entry.heartbeat = heartbeat;
   entry.lastToken = heartbeat.token != 0 ? heartbeat.token : entry.lastToken;
   return entry;
@@ -47,7 +48,8 @@
     return true;
   }
   MemberStatus const* const found = find(id);
-  return found != nullptr && found->ever && !found->heartbeat.unhealthy && now - found->lastHeartbeatAt <= within;
+  return found != nullptr && found->heartbeatReceived && !found->heartbeat.unhealthy &&
+         now - found->lastHeartbeatAt <= within;
 }
 
 bool FailureDetector::allAlive(TimePoint now, std::vector<std::string> const& ids,
@@ -56,11 +58,11 @@
 }
 
 bool FailureDetector::superseded(TimePoint now, std::string const& id, std::chrono::milliseconds within) const {
-  MemberStatus const* const old = find(id);
-  return old != nullptr &&
+  MemberStatus const* const status = find(id);
+  return status != nullptr &&
          std::any_of(members_.begin(), members_.end(), [&](std::pair<std::string const, MemberStatus> const& entry) {
-           return entry.first != id && entry.second.member.address == old->member.address &&
-                  entry.second.lastHeartbeatAt > old->lastHeartbeatAt && isAlive(now, entry.first, within);
+           return entry.first != id && entry.second.member.address == status->member.address &&
+                  entry.second.lastHeartbeatAt > status->lastHeartbeatAt && isAlive(now, entry.first, within);
          });
 }
 
@@ -70,8 +72,8 @@
     digest.add(entry.first);
     digest.add(entry.second.member.address);
     digest.add(entry.second.member.zone);
-    digest.add(entry.second.ever);
-    digest.add(entry.second.reached);
+    digest.add(entry.second.heartbeatReceived);
+    digest.add(entry.second.firstHeartbeatHandled);
     digest.add(entry.second.lastToken);
     digest.add(entry.second.heartbeat);
     digest.add(entry.second.lastHeartbeatAt);
--- a/libs/replication/src/founding.cpp
+++ b/libs/replication/src/founding.cpp
@@ -7,27 +7,29 @@
 namespace limeramp::replication {
 namespace {
 
-/// A forced group's epochs lie above all that the old group can still decide.
+/// The epochs of a forced group begin above the next multiple of this stride, above all epochs that the old group can
+/// still decide.
 constexpr std::uint64_t forcedEpochStride = 1'000'000;
 
 }  // namespace
 
 void ReplicationGroup::Impl::tryFounding() {
-  std::vector<std::string>::const_iterator const own = std::lower_bound(founders.begin(), founders.end(), self.address);
+  std::vector<std::string>::const_iterator const ownPosition =
+      std::lower_bound(founders.begin(), founders.end(), self.address);
   if (!mayVote() || shuttingDown() ||
-      now - epochStableSince < options.lostMs + options.founderStaggerMs * (own - founders.begin())) {
+      now - epochStableSince < options.lostMs + options.founderStaggerMs * (ownPosition - founders.begin())) {
     return;
   }
   std::map<std::string, std::pair<TimePoint, std::string>> voters{{self.address, {now, self.id}}};
-  std::size_t inSight = 1;
+  std::size_t aliveMembers = 1;
   for (std::pair<std::string const, MemberStatus> const& entry : detector.members()) {
     std::string const& address = entry.second.member.address;
-    inSight += isAlive(entry.first, options.lostMs) ? 1 : 0;
-    if (entry.second.ever && std::binary_search(founders.begin(), founders.end(), address)) {
+    aliveMembers += isAlive(entry.first, options.lostMs) ? 1 : 0;
+    if (entry.second.heartbeatReceived && std::binary_search(founders.begin(), founders.end(), address)) {
       voters[address] = std::max(voters[address], {entry.second.lastHeartbeatAt, entry.first});
     }
   }
-  if (inSight < std::max(options.minReplicas, std::min(options.maxWitnesses, founders.size()))) {
+  if (aliveMembers < std::max(options.minReplicas, std::min(options.maxWitnesses, founders.size()))) {
     return;
   }
   proposal.record = {1, "", self.id, planner().backupsFor(self.id), {}};
--- a/libs/replication/src/heartbeats.cpp
+++ b/libs/replication/src/heartbeats.cpp
@@ -8,11 +8,11 @@
 void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Heartbeat const& message) {
   MemberStatus& entry = detector.recordHeartbeat(now, from, message);
   adoptEpoch(message.decided);
-  bool const reached = std::exchange(entry.reached, true);
-  if (leadership == Leadership::joining && !reached && isOf(acceptor.decided.backups, from)) {
+  bool const firstHeartbeatHandled = std::exchange(entry.firstHeartbeatHandled, true);
+  if (leadership == Leadership::joining && !firstHeartbeatHandled && contains(acceptor.decided.backups, from)) {
     sendLeadershipSyncs();
   }
-  if (leadership == Leadership::active && isOf(acceptor.decided.backups, from) &&
+  if (leadership == Leadership::active && contains(acceptor.decided.backups, from) &&
       epochOf(message) == acceptor.decided.epoch) {
     confirmation.echoed(from, message.echoed);
     confirmLeadership();
@@ -31,8 +31,9 @@
   heartbeat();
 }
 
-// Whoever leaves waits until the epoch without it is stored; it need not wait for the next heartbeat besides.
-void ReplicationGroup::Impl::tellLeavingMembers() {
+// A member that is shutting down waits until the epoch without it is stored elsewhere. Sending the stored epoch to it
+// at once saves the wait for the next regular heartbeat.
+void ReplicationGroup::Impl::heartbeatLeavingMembers() {
   for (std::pair<std::string const, MemberStatus>& entry : detector.members()) {
     if (entry.second.heartbeat.unhealthy) {
       entry.second.nextHeartbeatAt = now;
@@ -47,8 +48,9 @@
     if (now < entry.second.nextHeartbeatAt) {
       continue;
     }
-    bool const quick = acceptor.decided.epoch == 0 || (isPrimary() && isOf(acceptor.decided.backups, entry.first));
-    entry.second.nextHeartbeatAt = now + (quick ? options.heartbeatMs : options.idleHeartbeatMs);
+    bool const usesFastInterval =
+        acceptor.decided.epoch == 0 || (isPrimary() && contains(acceptor.decided.backups, entry.first));
+    entry.second.nextHeartbeatAt = now + (usesFastInterval ? options.heartbeatMs : options.idleHeartbeatMs);
     if (token == 0) {
       token = ++lastToken;
       confirmation.heartbeatSent(token, now);
--- a/libs/replication/src/identities.h
+++ b/libs/replication/src/identities.h
@@ -5,7 +5,7 @@
 
 namespace limeramp::replication {
 
-/// The identities with a space between them, for the log.
+/// The ids separated by spaces, for the log.
 std::string joined(std::vector<std::string> const& ids);
 
 }  // namespace limeramp::replication
--- a/libs/replication/src/leadership_confirmation.cpp
+++ b/libs/replication/src/leadership_confirmation.cpp
@@ -5,27 +5,27 @@
 namespace limeramp::replication {
 namespace {
 
-// A heartbeat that is echoed later than this many others were sent confirms nothing.
+// Number of sent heartbeats that are remembered; the echo of an older one confirms nothing.
 constexpr std::size_t maxHeartbeatsKept = 64;
 
 }  // namespace
 
 void LeadershipConfirmation::restart() {
-  echoedAt_.clear();
+  newestEchoSentAt_.clear();
   confirmedAt_.reset();
 }
 
 void LeadershipConfirmation::heartbeatSent(std::uint64_t token, TimePoint now) {
-  sent_.push_back({token, now});
-  while (sent_.size() > maxHeartbeatsKept) {
-    sent_.pop_front();
+  sentHeartbeats_.push_back({token, now});
+  while (sentHeartbeats_.size() > maxHeartbeatsKept) {
+    sentHeartbeats_.pop_front();
   }
 }
 
 void LeadershipConfirmation::echoed(std::string const& backup, std::uint64_t token) {
-  for (SentHeartbeat const& sent : sent_) {
+  for (SentHeartbeat const& sent : sentHeartbeats_) {
     if (sent.token == token) {
-      echoedAt_[backup] = std::max(echoedAt_[backup], sent.at);
+      newestEchoSentAt_[backup] = std::max(newestEchoSentAt_[backup], sent.at);
     }
   }
 }
@@ -33,8 +33,8 @@
 void LeadershipConfirmation::confirm(std::vector<std::string> const& backups, TimePoint now) {
   TimePoint oldest = now;
   for (std::string const& backup : backups) {
-    std::map<std::string, TimePoint>::const_iterator const echo = echoedAt_.find(backup);
-    if (echo == echoedAt_.end()) {
+    std::map<std::string, TimePoint>::const_iterator const echo = newestEchoSentAt_.find(backup);
+    if (echo == newestEchoSentAt_.end()) {
       return;
     }
     oldest = std::min(oldest, echo->second);
@@ -44,11 +44,11 @@
 
 void LeadershipConfirmation::digest(messages::StateDigest& digest) const {
   digest.add(confirmedAt_.value_or(TimePoint{}));
-  for (std::pair<std::string const, TimePoint> const& entry : echoedAt_) {
+  for (std::pair<std::string const, TimePoint> const& entry : newestEchoSentAt_) {
     digest.add(entry.first);
     digest.add(entry.second);
   }
-  for (SentHeartbeat const& sent : sent_) {
+  for (SentHeartbeat const& sent : sentHeartbeats_) {
     digest.add(sent.token);
     digest.add(sent.at);
   }
--- a/libs/replication/src/membership_planner.cpp
+++ b/libs/replication/src/membership_planner.cpp
@@ -7,16 +7,16 @@
 namespace limeramp::replication {
 namespace {
 
-// The member with the highest score; the first of them in the order of identities. Empty if all scores are below 0.
-std::string bestOf(std::map<std::string, MemberStatus> const& members,
-                   std::function<int(std::string const&)> const& score) {
+// The id of the member with the highest score, on a tie the lowest id; empty if all scores are below 0.
+std::string highestScoring(std::map<std::string, MemberStatus> const& members,
+                           std::function<int(std::string const&)> const& score) {
   std::string best;
   int bestScore = -1;
   for (std::pair<std::string const, MemberStatus> const& entry : members) {
-    int const own = score(entry.first);
-    if (own > bestScore) {
+    int const memberScore = score(entry.first);
+    if (memberScore > bestScore) {
       best = entry.first;
-      bestScore = own;
+      bestScore = memberScore;
     }
   }
   return best;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-bool isOf(std::vector<std::string> const& ids, std::string const& id) {
+bool contains(std::vector<std::string> const& ids, std::string const& id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
@@ -44,12 +44,13 @@
   return found == nullptr ? "" : found->member.zone;
 }
 
-bool MembershipPlanner::apart(std::string const& left, std::string const& right) const {
+bool MembershipPlanner::inDifferentZones(std::string const& left, std::string const& right) const {
   return !zoneOf(left).empty() && !zoneOf(right).empty() && zoneOf(left) != zoneOf(right);
 }
 
 bool MembershipPlanner::inNewZone(std::vector<std::string> const& chosen, std::string const& id) const {
-  return std::all_of(chosen.begin(), chosen.end(), [&](std::string const& other) { return apart(other, id); });
+  return std::all_of(chosen.begin(), chosen.end(),
+                     [&](std::string const& other) { return inDifferentZones(other, id); });
 }
 
 std::size_t MembershipPlanner::zoneCount(std::vector<std::string> const& ids) const {
@@ -64,12 +65,12 @@
   std::vector<std::string> out;
   while (1 + out.size() < options.maxReplicas) {
     std::vector<std::string> const replicas = replicasOf(primary, out);
-    std::string const best = bestOf(detector.members(), [&](std::string const& id) {
-      if (id == self.id || isOf(replicas, id) || !detector.isAlive(now, id, options.lostMs)) {
+    std::string const best = highestScoring(detector.members(), [&](std::string const& id) {
+      if (id == self.id || contains(replicas, id) || !detector.isAlive(now, id, options.lostMs)) {
         return notEligible;
       }
-      return (inNewZone(replicas, id) ? 4 : 0) + (isOf(decided.backups, id) ? 2 : 0) +
-             (isOf(decided.witnesses, id) ? 1 : 0);
+      return (inNewZone(replicas, id) ? 4 : 0) + (contains(decided.backups, id) ? 2 : 0) +
+             (contains(decided.witnesses, id) ? 1 : 0);
     });
     if (best.empty()) {
       break;
@@ -84,11 +85,12 @@
   std::vector<std::string> out = replicasOf(primary, backups);
   out.resize(std::min(out.size(), options.maxWitnesses));
   while (out.size() < options.maxWitnesses) {
-    std::string const best = bestOf(detector.members(), [&](std::string const& id) {
-      if (isOf(out, id) || !detector.isAlive(now, id, options.lostMs) || detector.superseded(now, id, options.lostMs)) {
+    std::string const best = highestScoring(detector.members(), [&](std::string const& id) {
+      if (contains(out, id) || !detector.isAlive(now, id, options.lostMs) ||
+          detector.superseded(now, id, options.lostMs)) {
         return notEligible;
       }
-      return (inNewZone(out, id) ? 2 : 0) + (isOf(decided.witnesses, id) ? 1 : 0);
+      return (inNewZone(out, id) ? 2 : 0) + (contains(decided.witnesses, id) ? 1 : 0);
     });
     if (best.empty()) {
       break;
@@ -96,7 +98,7 @@
     out.push_back(best);
   }
   for (std::string const& id : decided.witnesses) {
-    if (out.size() < options.maxWitnesses && !isOf(out, id)) {
+    if (out.size() < options.maxWitnesses && !contains(out, id)) {
       out.push_back(id);
     }
   }
@@ -115,13 +117,14 @@
 }
 
 bool MembershipPlanner::repairWanted(MembershipChoice const& choice) const {
-  std::vector<std::string> const& listed = decided.witnesses;
+  std::vector<std::string> const& currentWitnesses = decided.witnesses;
   bool const replaceable = std::any_of(choice.witnesses.begin(), choice.witnesses.end(),
-                                       [&](std::string const& id) { return !isOf(listed, id); });
-  bool const wiped = std::any_of(listed.begin(), listed.end(),
-                                 [&](std::string const& id) { return detector.superseded(now, id, options.lostMs); });
-  bool const lost = !detector.allAlive(now, listed, options.witnessGoneMs);
-  return (replaceable && (wiped || lost)) || choice.backups.size() > decided.backups.size();
+                                       [&](std::string const& id) { return !contains(currentWitnesses, id); });
+  bool const anySuperseded = std::any_of(currentWitnesses.begin(), currentWitnesses.end(), [&](std::string const& id) {
+    return detector.superseded(now, id, options.lostMs);
+  });
+  bool const anyLost = !detector.allAlive(now, currentWitnesses, options.witnessGoneMs);
+  return (replaceable && (anySuperseded || anyLost)) || choice.backups.size() > decided.backups.size();
 }
 
 bool MembershipPlanner::spreadWanted(MembershipChoice const& choice) const {
@@ -130,9 +133,9 @@
          zoneCount(replicasOf(self.id, choice.backups)) > zoneCount(replicasOf(self.id, decided.backups));
 }
 
-bool MembershipPlanner::successorKnown(std::vector<std::string> const& seats) const {
-  return !bestOf(detector.members(), [&](std::string const& id) {
-            bool const eligible = !isOf(seats, id) && detector.isAlive(now, id, options.lostMs) &&
+bool MembershipPlanner::replacementAvailable(std::vector<std::string> const& excluded) const {
+  return !highestScoring(detector.members(), [&](std::string const& id) {
+            bool const eligible = !contains(excluded, id) && detector.isAlive(now, id, options.lostMs) &&
                                   !detector.superseded(now, id, options.lostMs);
             return eligible ? 0 : notEligible;
           }).empty();
--- a/libs/replication/src/membership_planner.h
+++ b/libs/replication/src/membership_planner.h
@@ -10,17 +10,19 @@
 
 namespace limeramp::replication {
 
-bool isOf(std::vector<std::string> const& ids, std::string const& id);
+/// Whether `ids` contains `id`.
+bool contains(std::vector<std::string> const& ids, std::string const& id);
 
-/// The members that a primary would choose beside itself.
+/// The members that a primary would choose for the next epoch.
 struct MembershipChoice {
   std::vector<std::string> backups;
   std::vector<std::string> witnesses;
 };
 
-/// Chooses who replicates and who votes in the next epoch, and says when a change is worth its short interruption.
-/// A view on the current knowledge: it holds nothing of its own and changes nothing. Choices spread over zones first,
-/// then keep to the members of today. Any choice is safe; a bad one costs availability.
+/// Chooses the replicas and witnesses of the next epoch and tells when a change is worth its short interruption.
+///
+/// It only refers to the member's state and modifies nothing. Choices spread over zones first and prefer current
+/// members next. Any choice is safe; a bad one costs availability.
 struct MembershipPlanner {
   ReplicationOptions const& options;
   FailureDetector const& detector;
@@ -28,25 +30,29 @@
   Member const& self;
   TimePoint now;
 
-  /// Living members to replicate beside the primary, at most policy.maxReplicas - 1 of them; never this member.
+  /// Live members that would be backups of `primary`, at most `options.maxReplicas` - 1; never this member.
   std::vector<std::string> backupsFor(std::string const& primary) const;
-  /// The replicas and further members, an odd number of at most policy.maxWitnesses. Where too few are alive, silent
-  /// witnesses of today keep their votes.
+  /// The replicas and further members, at most `options.maxWitnesses`; an even number above 2 is reduced by one. If too
+  /// few members are alive, current witnesses that are silent keep their votes.
   std::vector<std::string> witnessesFor(std::string const& primary, std::vector<std::string> const& backups) const;
-  /// What this member would choose as the primary.
+  /// The choice that this member would make if it were the primary.
   MembershipChoice preferred() const;
-  /// This member and the backups that it would choose are enough to acknowledge changes.
+  /// Whether this member and the backups that it would choose are enough replicas to acknowledge changes.
   bool canFormGroup() const;
-  /// A lost or wiped witness can be replaced, or a missing backup be made up for. Worth doing at once.
+  /// Whether a witness that is lost or whose disk was wiped can be replaced, or a backup added. Due after
+  /// `options.repairMs`.
   bool repairWanted(MembershipChoice const& choice) const;
-  /// Witnesses or replicas can be spread over more zones, or there can be more witnesses. Worth doing in calm.
+  /// Whether witnesses or replicas can be spread over more zones, or witnesses added. Due only after
+  /// `options.spreadMs` without an epoch change.
   bool spreadWanted(MembershipChoice const& choice) const;
-  /// Somebody is heard who has none of these seats and could take one.
-  bool successorKnown(std::vector<std::string> const& seats) const;
+  /// Whether a live member outside `excluded` could take the place of one of them.
+  bool replacementAvailable(std::vector<std::string> const& excluded) const;
 
  private:
+  /// Empty if the zone is not known.
   std::string zoneOf(std::string const& id) const;
-  bool apart(std::string const& left, std::string const& right) const;
+  /// False if one of the zones is not known.
+  bool inDifferentZones(std::string const& left, std::string const& right) const;
   bool inNewZone(std::vector<std::string> const& chosen, std::string const& id) const;
   std::size_t zoneCount(std::vector<std::string> const& ids) const;
 };
--- a/libs/replication/src/replication_group.cpp
+++ b/libs/replication/src/replication_group.cpp
@@ -32,7 +32,7 @@
   }
   restoreRecords(event.stored);
   if (storageUnusable()) {
-    effects.emplace_back(LogEntry{logging::Event::diskDamaged, "stored records do not read"});
+    effects.emplace_back(LogEntry{logging::Event::diskDamaged, "the stored records cannot be parsed"});
     return;
   }
   storedEpoch = acceptor.decided.epoch;
@@ -42,7 +42,7 @@
 
 void ReplicationGroup::Impl::on(KnownMembers const& event) {
   mayFound = event.mayFound;
-  detector.know(now, event.members, [this](std::string const& id) { return isReplica(id); });
+  detector.updateMembers(now, event.members, [this](std::string const& id) { return isReplica(id); });
 }
 
 void ReplicationGroup::Impl::on(MessageReceived const& event) {
@@ -59,7 +59,8 @@
   }
 }
 
-// Without a usable disk the member only learns who leads, so that it can say so, and who is there.
+// Without a usable disk the member takes no part in the protocol. It only tracks the decided epoch, so that it can name
+// the primary, and which members are alive.
 void ReplicationGroup::Impl::recordHeartbeatOnly(std::string const& from, messages::Message const& message) {
   messages::Heartbeat const* const heartbeat = std::get_if<messages::Heartbeat>(&message);
   if (heartbeat == nullptr) {
@@ -83,13 +84,14 @@
     if (proposal.stage == ProposalStage::none) {
       tryFounding();
     } else if (now >= proposal.retryAt) {
+      // The founding ballot failed: the next attempt waits only for this member's founder stagger.
       proposal = {};
       epochStableSince = now - options.lostMs;
     }
     return;
   }
   if (proposal.stage != ProposalStage::none) {
-    pushProposal();
+    advanceProposal();
     return;
   }
   if (isPrimary()) {
@@ -97,7 +99,7 @@
   } else if (isBackup()) {
     tickBackup();
   }
-  pushProposal();
+  advanceProposal();
 }
 
 ReplicationOptions optionsFor(std::size_t machineLosses) {
@@ -184,7 +186,7 @@
 std::optional<std::chrono::milliseconds> ReplicationGroup::sinceHeartbeatMs(TimePoint now,
                                                                             std::string const& member) const {
   MemberStatus const* const found = impl_->detector.find(member);
-  if (found == nullptr || !found->ever) {
+  if (found == nullptr || !found->heartbeatReceived) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<Ms>(now - found->lastHeartbeatAt);
@@ -195,7 +197,7 @@
   messages::StateDigest digest(now, impl.options.spreadMs);
   digest.add(impl.started);
   digest.add(impl.storage);
-  digest.addDeadline(impl.rewriteAt);
+  digest.addDeadline(impl.rewriteDueAt);
   digest.add(impl.rewriteToken.has_value());
   digest.add(impl.shuttingDown());
   digest.add(impl.shutdownRequestedAt.value_or(TimePoint{}));
@@ -217,7 +219,7 @@
   digest.add(impl.membershipChangeDue);
   digest.add(impl.ticket);
   impl.detector.digest(digest);
-  impl.digestPersisting(digest);
+  impl.digestPendingWrites(digest);
   impl.replicator.digest(digest);
   impl.confirmation.digest(digest);
   impl.proposal.digest(digest);
--- a/libs/replication/src/replication_group_impl.h
+++ b/libs/replication/src/replication_group_impl.h
@@ -24,24 +24,25 @@
 
 using Ms = std::chrono::milliseconds;
 
-/// Whether this member leads its epoch: joining until all backups have synced its state under the epoch.
+/// Whether this member is the primary of its epoch. `joining`: it is the primary but may not commit yet, since not
+/// every backup has synced its state under the epoch. `active`: it may commit.
 enum class Leadership { none, joining, active };
 
-/// Whether the member may use its disk. Only a member with a usable one votes, replicates or confirms anything.
+/// State of the member's disk. Only a member with a usable disk votes, replicates or confirms anything.
 enum class StorageState {
   usable,
-  /// A write failed. What the member holds in memory is complete, so it can be written anew.
+  /// A write failed. The member's memory is complete, so all records can be written again.
   failed,
-  /// The stored records do not read: the member does not know what it promised, and stays out for good.
+  /// The stored records cannot be parsed: the member does not know what it promised and never takes part again.
   unreadable,
-  /// There is no disk.
+  /// The member runs without a disk.
   none,
 };
 
-/// Binds the parts of a member together: acceptor, failure detector, membership planner, replicator, leadership
-/// confirmation and the proposal of the next epoch. replication_group.cpp has the events, disk.cpp the disk,
-/// state_transfer.cpp the replication of states, epoch_change.cpp proposals and ballots, heartbeats.cpp the heartbeats,
-/// leaving.cpp what a member waits for that was told to end.
+/// State of one member: acceptor, failure detector, membership planner, replicator, leadership confirmation and the
+/// proposal of the next epoch. Its functions are in replication_group.cpp (events), disk.cpp (persistence),
+/// state_transfer.cpp (replication of states), epoch_change.cpp (proposals and ballots), founding.cpp (the first epoch
+/// and a forced group), heartbeats.cpp and shutdown.cpp.
 struct ReplicationGroup::Impl {
   explicit Impl(ReplicationOptions const& optionsIn) : options(optionsIn) {}
 
@@ -51,6 +52,7 @@
   bool started = false;
   StorageState storage = StorageState::usable;
   std::optional<TimePoint> shutdownRequestedAt;
+  /// The highest decided epoch that this member's disk holds; sent with each heartbeat.
   std::uint64_t storedEpoch = 0;
   Member self;
   std::mt19937_64 random;
@@ -59,27 +61,35 @@
   FailureDetector detector;
   bool mayFound = false;
   std::vector<std::string> founders;
+  /// The last token given to a heartbeat or a Sync.
   std::uint64_t lastToken = 0;
   LeadershipConfirmation confirmation;
   TimePoint epochStableSince{};
   TimePoint startedAt{};
-  std::uint64_t lastPersist = 0;
-  std::map<std::uint64_t, std::vector<GroupEffect>> afterPersist;
-  std::map<std::uint64_t, TimePoint> persisting;
-  std::map<std::uint64_t, std::uint64_t> persistedEpochs;
+  std::uint64_t lastPersistToken = 0;
+  /// Each pending write by its token: the effects that wait for it, when it began, and the decided epoch that it stores
+  /// (0 if it does not hold the vote).
+  std::map<std::uint64_t, std::vector<GroupEffect>> deferredEffects;
+  std::map<std::uint64_t, TimePoint> pendingWrites;
+  std::map<std::uint64_t, std::uint64_t> pendingWriteEpochs;
   std::set<std::string> schemasStored;
-  /// After a failed write: when all is written anew, and the token of that write while it is under way.
-  TimePoint rewriteAt{};
+  /// After a failed write: when all records are written again, and the token of that write while it is pending.
+  TimePoint rewriteDueAt{};
   std::optional<std::uint64_t> rewriteToken;
   Leadership leadership = Leadership::none;
   Replicator replicator;
+  /// A membership change is wanted and begins when the change in progress, if any, is committed.
   bool membershipChangeDue = false;
+  /// The proposal that is being replicated.
   std::optional<std::uint64_t> ticket;
+  /// The highest ballot round seen; the next ballot uses a higher one.
   std::uint64_t highestRound = 0;
-  std::uint64_t fencePersist = 0;
+  /// The write that stores the fence. No members are chosen while it is pending.
+  std::uint64_t fencePersistToken = 0;
+  /// Until then a fenced backup leaves the epoch change to the replica that sent it a fenced Sync.
   TimePoint yieldUntil{};
   EpochProposal proposal;
-  /// What was reported of missing votes; it takes no part in any decision, so the digest leaves it out.
+  /// Not in the digest, since no decision depends on it.
   VoteMonitor voteMonitor;
 
   void on(Start const& event);
@@ -104,20 +114,24 @@
   template <typename Other>
   void onMessage(std::string const&, Other const&) {}
 
-  bool writeOverdue() const { return !persisting.empty() && now - persisting.begin()->second >= options.diskSlowMs; }
+  bool writeOverdue() const {
+    return !pendingWrites.empty() && now - pendingWrites.begin()->second >= options.diskSlowMs;
+  }
   bool storageUnusable() const { return storage != StorageState::usable; }
   bool unhealthy() const { return storageUnusable() || writeOverdue(); }
   bool shuttingDown() const { return shutdownRequestedAt.has_value(); }
   bool isPrimary() const { return acceptor.decided.epoch > 0 && acceptor.decided.primary == self.id; }
-  bool isBackup() const { return acceptor.decided.epoch > 0 && isOf(acceptor.decided.backups, self.id); }
+  bool isBackup() const { return acceptor.decided.epoch > 0 && contains(acceptor.decided.backups, self.id); }
   bool isReplica(std::string const& id) const {
-    return acceptor.decided.epoch > 0 && (id == acceptor.decided.primary || isOf(acceptor.decided.backups, id));
+    return acceptor.decided.epoch > 0 && (id == acceptor.decided.primary || contains(acceptor.decided.backups, id));
   }
   bool isAlive(std::string const& id, Ms within) const { return detector.isAlive(now, id, within); }
   MembershipPlanner planner() const { return {options, detector, acceptor.decided, self, now}; }
+  /// A majority of the decided epoch's witnesses, or of the founders before the first epoch.
   std::size_t quorum() const;
+  /// Whether this member is one of those voters. Founders vote only while discovery allows it (KnownMembers::mayFound).
   bool mayVote() const;
-  bool epochSpread() const;
+  bool epochStoredByMajority() const;
   ShutdownProgress shutdownProgress() const;
 
   void send(std::string const& to, messages::Message message);
@@ -126,7 +140,10 @@
   template <typename T>
   void restore(std::string const& key, std::map<std::string, std::string> const& stored, T& value);
   void restoreRecords(std::map<std::string, std::string> const& stored);
-  std::uint64_t persist(bool withVote, bool withState, std::vector<GroupEffect> then, bool rewrite = false);
+  /// Writes the chosen records; `effectsOnceStored` are carried out when the write has succeeded.
+  /// @return the token of the write
+  std::uint64_t persist(bool withVote, bool withState, std::vector<GroupEffect> effectsOnceStored,
+                        bool rewrite = false);
   void onWriteFailed(std::uint64_t token);
   void rewriteWhenDue();
   void onRewritten(std::uint64_t epochOnDisk);
@@ -140,25 +157,25 @@
   void fenceSelf();
   void beginMembershipChange();
   void sendLeadershipSyncs();
-  void report(std::optional<LogEntry> const& entry);
+  void appendLogEntry(std::optional<LogEntry> const& entry);
   void reportMissingVotes();
-  bool witnessesNeedChange() const;
-  bool partnersAlive() const;
+  bool membershipNeedsChange() const;
+  bool proposedReplicasAlive() const;
   void sendFencedSyncs();
-  void pushProposal();
+  void advanceProposal();
   void chooseMembers();
-  void pushBallot();
+  void advanceBallot();
   void tickPrimary();
   void tickBackup();
   void beginBallot();
   void sendBallot();
-  void beginAccept();
+  void beginAcceptPhase();
   void tryFounding();
   void heartbeat();
   void heartbeatAll();
-  void tellLeavingMembers();
+  void heartbeatLeavingMembers();
 
-  void digestPersisting(messages::StateDigest& digest) const;
+  void digestPendingWrites(messages::StateDigest& digest) const;
 };
 
 }  // namespace limeramp::replication
--- a/libs/replication/src/shutdown.cpp
+++ b/libs/replication/src/shutdown.cpp
@@ -5,15 +5,16 @@
 
 namespace limeramp::replication {
 
-// The primary and a majority of the witnesses have the decided record on their disks, so it outlives this member.
-bool ReplicationGroup::Impl::epochSpread() const {
-  std::function<bool(std::string const&)> const stored = [this](std::string const& id) {
+// Whether the primary and a majority of the witnesses have stored the decided record, so that it survives the loss of
+// this member.
+bool ReplicationGroup::Impl::epochStoredByMajority() const {
+  std::function<bool(std::string const&)> const hasStoredEpoch = [this](std::string const& id) {
     MemberStatus const* const found = detector.find(id);
     return found != nullptr && found->heartbeat.storedEpoch >= acceptor.decided.epoch;
   };
-  std::size_t const votes = static_cast<std::size_t>(
-      std::count_if(acceptor.decided.witnesses.begin(), acceptor.decided.witnesses.end(), stored));
-  return stored(acceptor.decided.primary) && votes >= quorum();
+  std::size_t const storingWitnesses = static_cast<std::size_t>(
+      std::count_if(acceptor.decided.witnesses.begin(), acceptor.decided.witnesses.end(), hasStoredEpoch));
+  return hasStoredEpoch(acceptor.decided.primary) && storingWitnesses >= quorum();
 }
 
 ShutdownProgress ReplicationGroup::Impl::shutdownProgress() const {
@@ -26,15 +27,16 @@
   if (now - *shutdownRequestedAt >= options.shutdownGraceMs) {
     return ShutdownProgress::graceTimeOver;
   }
-  bool const othersHoldTheState = isBackup() && isAlive(acceptor.decided.primary, options.lostMs);
-  bool const successor = planner().successorKnown(replicasOf(acceptor.decided.primary, acceptor.decided.backups));
-  if (isReplica(self.id) && (successor || !othersHoldTheState)) {
+  bool const primaryHoldsState = isBackup() && isAlive(acceptor.decided.primary, options.lostMs);
+  bool const replacementExists =
+      planner().replacementAvailable(replicasOf(acceptor.decided.primary, acceptor.decided.backups));
+  if (isReplica(self.id) && (replacementExists || !primaryHoldsState)) {
     return ShutdownProgress::replicaNotReplaced;
   }
-  if (isOf(acceptor.decided.witnesses, self.id) && planner().successorKnown(acceptor.decided.witnesses)) {
+  if (contains(acceptor.decided.witnesses, self.id) && planner().replacementAvailable(acceptor.decided.witnesses)) {
     return ShutdownProgress::voteNotReplaced;
   }
-  return epochSpread() ? ShutdownProgress::done : ShutdownProgress::epochNotSpread;
+  return epochStoredByMajority() ? ShutdownProgress::done : ShutdownProgress::epochNotSpread;
 }
 
 std::string_view nameOf(ShutdownProgress progress) {
--- a/libs/replication/src/state_transfer.cpp
+++ b/libs/replication/src/state_transfer.cpp
@@ -36,7 +36,7 @@
 
 void ReplicationGroup::Impl::sendLeadershipSyncs() {
   replicator.sent(now);
-  for (std::string const& backup : replicator.waitingFor()) {
+  for (std::string const& backup : replicator.pendingBackups()) {
     send(backup, messages::Sync{acceptor.decided, replicator.token(), false, state});
   }
 }
@@ -73,6 +73,9 @@
   beginLeadershipSync();
 }
 
+// A fenced Sync comes from a replica that has fenced its epoch and sends its state to the replicas of the next one; a
+// receiver that is a replica fences its epoch too. Other Syncs come from the primary, or return a newer state of the
+// same epoch from a backup to a joining primary, which adopts it.
 void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Sync const& message) {
   adoptEpoch(message.decided);
   if (message.decided.epoch != acceptor.decided.epoch || message.decided.epoch == 0) {
@@ -89,9 +92,9 @@
     }
     yieldUntil = now + options.lostMs;
   } else {
-    std::strong_ordering const order = message.state.version() <=> state.version();
-    if (isPrimary() && leadership == Leadership::joining && isOf(acceptor.decided.backups, from) && order > 0 &&
-        message.state.epoch == acceptor.decided.epoch) {
+    std::strong_ordering const versionOrder = message.state.version() <=> state.version();
+    if (isPrimary() && leadership == Leadership::joining && contains(acceptor.decided.backups, from) &&
+        versionOrder > 0 && message.state.epoch == acceptor.decided.epoch) {
       state = message.state;
       replicator.localWriteBegan(persist(false, true, {}));
       beginLeadershipSync();
@@ -100,13 +103,13 @@
     if (from != acceptor.decided.primary || !isBackup() || acceptor.isFenced()) {
       return;
     }
-    if (state.epoch == acceptor.decided.epoch && order < 0) {
+    if (state.epoch == acceptor.decided.epoch && versionOrder < 0) {
       send(from, messages::Sync{acceptor.decided, message.token, false, state});
       return;
     }
   }
   bool const changed = !(state == message.state);
-  std::vector<GroupEffect> then{Send{from, "", messages::Synced{acceptor.decided.epoch, message.token}}};
+  std::vector<GroupEffect> effectsOnceStored{Send{from, "", messages::Synced{acceptor.decided.epoch, message.token}}};
   if (changed && state.epoch < message.state.epoch) {
     effects.emplace_back(LogEntry{logging::Event::replicaRebuilt,
                                   std::to_string(message.state.epoch) + "." + std::to_string(message.state.sequence)});
@@ -116,7 +119,7 @@
     ticket.reset();
   }
   state = message.state;
-  persist(withVote, true, std::move(then));
+  persist(withVote, true, std::move(effectsOnceStored));
 }
 
 void ReplicationGroup::Impl::onMessage(std::string const& from, messages::Synced const& message) {
--- a/libs/replication/src/vote_monitor.cpp
+++ b/libs/replication/src/vote_monitor.cpp
@@ -5,25 +5,26 @@
 namespace limeramp::replication {
 namespace {
 
-/// The number of lost ballots at which the first entry is made, and the number after which it is repeated.
-constexpr std::size_t ordinaryLosses = 3;
-constexpr std::size_t repeatedAfterLosses = 20;
+/// The first entry is made at this number of lost ballots, and repeated after each further `lostBallotsBetweenReports`.
+constexpr std::size_t lostBallotsAtFirstReport = 3;
+constexpr std::size_t lostBallotsBetweenReports = 20;
 
 }  // namespace
 
-std::optional<LogEntry> VoteMonitor::witnessesChecked(std::vector<std::string> const& unusable) {
-  if (unusable == reportedUnusable_) {
+std::optional<LogEntry> VoteMonitor::witnessesChecked(std::vector<std::string> const& unavailable) {
+  if (unavailable == reportedUnavailable_) {
     return std::nullopt;
   }
-  reportedUnusable_ = unusable;
-  return unusable.empty() ? LogEntry{logging::Event::votesComplete, ""}
-                          : LogEntry{logging::Event::votesMissing, joined(unusable)};
+  reportedUnavailable_ = unavailable;
+  return unavailable.empty() ? LogEntry{logging::Event::votesComplete, ""}
+                             : LogEntry{logging::Event::votesMissing, joined(unavailable)};
 }
 
 std::optional<LogEntry> VoteMonitor::ballotLost(EpochProposal const& proposal, std::uint64_t nextEpoch,
                                                 std::size_t quorum) {
   ++lostBallots_;
-  if (lostBallots_ < ordinaryLosses || (lostBallots_ - ordinaryLosses) % repeatedAfterLosses != 0) {
+  if (lostBallots_ < lostBallotsAtFirstReport ||
+      (lostBallots_ - lostBallotsAtFirstReport) % lostBallotsBetweenReports != 0) {
     return std::nullopt;
   }
   std::vector<std::string> unanswered;
--- a/libs/replication/src/vote_monitor.h
+++ b/libs/replication/src/vote_monitor.h
@@ -11,25 +11,26 @@
 
 namespace limeramp::replication {
 
-/// Tells operators that votes are missing: while all is well otherwise, and while ballots for the next epoch fail.
+/// Reports missing votes to operators: witnesses that cannot vote while an epoch is in force, and voters that do not
+/// answer while ballots for the next epoch fail.
 ///
-/// It decides nothing: its results are entries for the log, and no step of the group depends on them.
+/// It only produces log entries; no step of the group depends on them.
 class VoteMonitor {
  public:
-  /// The witnesses of the decided epoch that cannot vote now.
-  /// @return an entry if they are others than those that were reported last
-  std::optional<LogEntry> witnessesChecked(std::vector<std::string> const& unusable);
+  /// Takes the witnesses of the decided epoch that cannot vote now.
+  /// @return a log entry if they differ from those that were reported last
+  std::optional<LogEntry> witnessesChecked(std::vector<std::string> const& unavailable);
 
-  /// A ballot has gone without a majority. The first few are ordinary, since rivals delay one another.
-  /// @return an entry that names the voters which did not answer, once in a number of ballots
+  /// Counts a ballot that got no majority. The first few are normal, since competing proposers preempt one another.
+  /// @return at the third lost ballot and every 20th after it, a log entry with the voters that did not grant it
   std::optional<LogEntry> ballotLost(EpochProposal const& proposal, std::uint64_t nextEpoch, std::size_t quorum);
 
-  /// An epoch was decided, so the ballots before it count no longer.
+  /// Resets the count of lost ballots.
   void epochDecided() { lostBallots_ = 0; }
 
  private:
-  std::vector<std::string> reportedUnusable_;
-  /// Ballots of this member without a majority since the last decided epoch.
+  std::vector<std::string> reportedUnavailable_;
+  /// Ballots of this member that got no majority since the last decided epoch.
   std::size_t lostBallots_ = 0;
 };
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Bytes that an earlier version wrote: each line of tests/data/records-of-version-0.1.txt is the name of a record, its
-// schema and the bytes of a sample in hexadecimal. The names in schemas are the protocol; they outlive renames in C++.
+// Compatibility with records that version 0.1 wrote. Each line of tests/data/records-of-version-0.1.txt holds the name
+// of a record, its schema and the bytes of a sample, the last two in hexadecimal. The field names in the schemas are
+// part of the protocol and stay the same when C++ members are renamed.
 #include "acceptor.h"
 #include "limeramp/messages/messages.h"
 
@@ -42,7 +43,8 @@
   return out;
 }
 
-/// Fills every field of a described record with a value of its own, in the order of the fields, as the sample was made.
+/// Fills every field of a described record with a distinct value, in the order of the fields. The samples in the file
+/// were filled in the same way.
 class SampleFiller {
  public:
   template <typename T>
@@ -84,16 +86,16 @@
 };
 
 template <typename T>
-class EarlierVersion : public testing::Test {};
+class RecordCompatibility : public testing::Test {};
 
 using Records = testing::Types<messages::Shuffle, messages::Prepare, messages::PrepareResponse, messages::Accept,
                                messages::AcceptResponse, messages::Heartbeat, messages::Sync, messages::Synced,
                                messages::StateRequest, messages::StateResponse, messages::TableRequest,
                                messages::TableResponse, messages::StateUpdate, messages::ForwardRequest,
                                messages::ForwardReply, messages::State, replication::Acceptor, messages::Envelope>;
-TYPED_TEST_SUITE(EarlierVersion, Records);
+TYPED_TEST_SUITE(RecordCompatibility, Records);
 
-TYPED_TEST(EarlierVersion, ItsSchemaIsUnderstoodAndItsRecordsAreReadFieldByField) {
+TYPED_TEST(RecordCompatibility, RecordsOfTheEarlierVersionAreReadFieldByField) {
   std::map<std::string, EarlierRecord> const records = earlierRecords();
   ASSERT_TRUE(records.contains(TypeParam::name)) << TypeParam::name;
   EarlierRecord const& earlier = records.at(TypeParam::name);
@@ -102,9 +104,9 @@
   EXPECT_EQ(messages::pack(*read), messages::pack(SampleFiller::make<TypeParam>()));
 }
 
-TYPED_TEST(EarlierVersion, ReadsWhatThisVersionWrites) {
+TYPED_TEST(RecordCompatibility, SchemaKeepsAllFieldNamesOfTheEarlierVersion) {
   EarlierRecord const earlier = earlierRecords().at(TypeParam::name);
-  // A field that is renamed or removed would be missing to the earlier version: its names must all be there still.
+  // The earlier version could not read a record whose field is renamed or removed, so all its names must still exist.
   std::string const& schema = messages::schemaOf<TypeParam>();
   std::size_t at = 0;
   while ((at = earlier.schema.find("\"name\":\"", at)) != std::string::npos) {
@@ -115,6 +117,6 @@
   }
 }
 
-TEST(EarlierRecords, EveryRecordOfTheFileIsCompared) { EXPECT_EQ(earlierRecords().size(), 18u); }
+TEST(EarlierRecords, AllRecordsInTheFileAreCompared) { EXPECT_EQ(earlierRecords().size(), 18u); }
 
 }  // namespace
--- a/tests/replication_parts_test.cpp
+++ b/tests/replication_parts_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the parts of a replication group, each alone.
+// Unit tests of the parts of a replication group.
 #include "acceptor.h"
 #include "epoch_proposal.h"
 #include "failure_detector.h"
@@ -21,7 +21,7 @@
   return {2, "fleet", primary, {"b"}, {"a", "b", "c"}};
 }
 
-TEST(Acceptor, PromisesAndAcceptsInRisingOrderAndReportsWhatItAcceptedLast) {
+TEST(Acceptor, RefusesLowerBallotsAndReportsTheLastAcceptedRecord) {
   Acceptor acceptor;
   acceptor.adopt({1, "fleet", "a", {"b"}, {"a", "b", "c"}});
   EXPECT_TRUE(acceptor.prepare({2, "a"}).granted);
@@ -35,10 +35,10 @@
   EXPECT_EQ(answer.acceptedBallot, (messages::Ballot{2, "a"}));
   ASSERT_TRUE(answer.accepted.has_value());
   EXPECT_EQ(answer.accepted->primary, "a");
-  EXPECT_FALSE(acceptor.accept({2, "a"}, recordWithPrimary("a")).granted) << "after the higher promise";
+  EXPECT_FALSE(acceptor.accept({2, "a"}, recordWithPrimary("a")).granted) << "a higher ballot was promised";
 }
 
-TEST(Acceptor, ADecidedRecordSettlesTheVoteAndTheFenceStaysWithItsEpoch) {
+TEST(Acceptor, AdoptingADecidedRecordClearsTheVoteAndKeepsTheFencedEpoch) {
   Acceptor acceptor;
   EXPECT_FALSE(acceptor.isFenced());
   acceptor.adopt({1, "fleet", "a", {"b"}, {"a", "b", "c"}});
@@ -53,29 +53,29 @@
 }
 
 TEST(EpochProposal, KeepsTheAcceptedRecordOfTheHighestBallotInAnyOrderOfAnswers) {
-  for (bool const risingOrder : {true, false}) {
+  for (bool const ascendingBallots : {true, false}) {
     EpochProposal proposal;
     proposal.record = recordWithPrimary("own");
     proposal.prepare({9, "a"}, start);
-    for (int turn = 0; turn < 2; ++turn) {
-      bool const higher = (turn == 1) == risingOrder;
+    for (int answer = 0; answer < 2; ++answer) {
+      bool const reportsHigherBallot = (answer == 1) == ascendingBallots;
       messages::PrepareResponse promise;
-      promise.acceptedBallot = {higher ? 6u : 5u, "x"};
-      promise.accepted = recordWithPrimary(higher ? "higher" : "lower");
-      proposal.countPrepareResponse(turn == 0 ? "b" : "c", promise);
+      promise.acceptedBallot = {reportsHigherBallot ? 6u : 5u, "x"};
+      promise.accepted = recordWithPrimary(reportsHigherBallot ? "higher" : "lower");
+      proposal.countPrepareResponse(answer == 0 ? "b" : "c", promise);
     }
     proposal.accept();
     EXPECT_EQ(proposal.record.primary, "higher");
   }
-  EpochProposal alone;
-  alone.record = recordWithPrimary("own");
-  alone.prepare({9, "a"}, start);
-  alone.countPrepareResponse("b", {});
-  alone.accept();
-  EXPECT_EQ(alone.record.primary, "own");
+  EpochProposal withoutAcceptedRecord;
+  withoutAcceptedRecord.record = recordWithPrimary("own");
+  withoutAcceptedRecord.prepare({9, "a"}, start);
+  withoutAcceptedRecord.countPrepareResponse("b", {});
+  withoutAcceptedRecord.accept();
+  EXPECT_EQ(withoutAcceptedRecord.record.primary, "own");
 }
 
-TEST(LeadershipConfirmation, IsAsOldAsTheOldestOfTheLastEchoes) {
+TEST(LeadershipConfirmation, ConfirmsUpToTheOldestOfTheHeartbeatsThatBackupsEchoedLast) {
   LeadershipConfirmation confirmation;
   confirmation.heartbeatSent(1, start);
   confirmation.heartbeatSent(2, start + Ms(100));
@@ -95,11 +95,11 @@
   EXPECT_FALSE(confirmation.confirmedAt().has_value());
 }
 
-TEST(Replicator, CommitsOnceTheDiskAndEveryBackupHaveTheStateInHand) {
+TEST(Replicator, CommitsOnceTheOwnDiskAndEveryBackupSyncedTheCurrentState) {
   Replicator replicator;
   replicator.localWriteBegan(7);
   replicator.transferBegan(30, {"b", "c"});
-  EXPECT_FALSE(replicator.backupSynced("b", 29)) << "an earlier state";
+  EXPECT_FALSE(replicator.backupSynced("b", 29)) << "token of an earlier state";
   EXPECT_TRUE(replicator.backupSynced("b", 30));
   EXPECT_FALSE(replicator.backupSynced("b", 30)) << "twice";
   EXPECT_TRUE(replicator.localWriteEnded(7));
@@ -111,15 +111,15 @@
   EXPECT_FALSE(replicator.committed());
 }
 
-class Planner : public testing::Test {
+class MembershipPlannerTest : public testing::Test {
  protected:
-  Planner() {
+  MembershipPlannerTest() {
     detector.setSelf("a");
     std::vector<Member> members;
     for (std::string const id : {"b", "c", "d", "e"}) {
       members.push_back({id, "address-" + id, id == "b" ? "z0" : id == "c" ? "z1" : "z2"});
     }
-    detector.know(start, members, [](std::string const&) { return true; });
+    detector.updateMembers(start, members, [](std::string const&) { return true; });
     for (Member const& member : members) {
       detector.recordHeartbeat(start, member.id, {});
     }
@@ -133,38 +133,38 @@
   Member self{"a", "address-a", "z0"};
 };
 
-TEST_F(Planner, SpreadsOverZonesFirstAndKeepsTodaysMembersNext) {
+TEST_F(MembershipPlannerTest, SpreadsOverZonesFirstAndPrefersCurrentMembersNext) {
   EXPECT_EQ(planner().backupsFor("a"), std::vector<std::string>{"c"}) << "b is in the primary's zone";
   EXPECT_EQ(planner().witnessesFor("a", {"c"}), (std::vector<std::string>{"a", "c", "d"}));
   EXPECT_TRUE(planner().spreadWanted(planner().preferred()));
   EXPECT_FALSE(planner().repairWanted(planner().preferred()));
 }
 
-TEST_F(Planner, LeavesOutTheSilentTheAilingAndTheWiped) {
+TEST_F(MembershipPlannerTest, ExcludesSilentUnhealthyAndWipedMembers) {
   messages::Heartbeat unhealthy;
   unhealthy.unhealthy = true;
   detector.recordHeartbeat(start, "c", unhealthy);
   EXPECT_EQ(planner().backupsFor("a"), std::vector<std::string>{"d"});
-  EXPECT_TRUE(planner().repairWanted(planner().preferred())) << "c votes and d could in its place";
-  EXPECT_FALSE(planner(start + options.lostMs + Ms(1)).canFormGroup()) << "all are silent";
-  detector.know(start, {{"d-new", "address-d", "z2"}}, [](std::string const&) { return true; });
+  EXPECT_TRUE(planner().repairWanted(planner().preferred())) << "d can replace the unhealthy witness c";
+  EXPECT_FALSE(planner(start + options.lostMs + Ms(1)).canFormGroup()) << "no other member is alive";
+  detector.updateMembers(start, {{"d-new", "address-d", "z2"}}, [](std::string const&) { return true; });
   detector.recordHeartbeat(start + Ms(10), "d-new", {});
   EXPECT_TRUE(detector.superseded(start + Ms(10), "d", options.lostMs));
   EXPECT_FALSE(detector.superseded(start + Ms(10), "d-new", options.lostMs));
 }
 
-TEST_F(Planner, SilentWitnessesKeepTheirVotesWhereNobodyCouldTakeThem) {
+TEST_F(MembershipPlannerTest, KeepsUnavailableWitnessesIfNoReplacementIsAlive) {
   messages::Heartbeat unhealthy;
   unhealthy.unhealthy = true;
   for (std::string const id : {"c", "d", "e"}) {
     detector.recordHeartbeat(start, id, unhealthy);
   }
   EXPECT_EQ(planner().witnessesFor("a", {"b"}), (std::vector<std::string>{"a", "b", "c"}));
-  EXPECT_FALSE(planner().successorKnown({"a", "b", "c"}));
+  EXPECT_FALSE(planner().replacementAvailable({"a", "b", "c"}));
   EXPECT_FALSE(planner().repairWanted(planner().preferred()));
 }
 
-TEST(VoteMonitor, ReportsAMissingVoteOnceAndItsReturnOnce) {
+TEST(VoteMonitor, ReportsAMissingVoteAndItsReturnOnceEach) {
   VoteMonitor monitor;
   EXPECT_FALSE(monitor.witnessesChecked({}));
   std::optional<LogEntry> const missing = monitor.witnessesChecked({"h1"});
@@ -178,7 +178,7 @@
   EXPECT_FALSE(monitor.witnessesChecked({}));
 }
 
-TEST(VoteMonitor, NamesTheVotersThatDoNotAnswerTheBallotsOfAnEpoch) {
+TEST(VoteMonitor, NamesMissingVotersAtTheThirdLostBallotAndEvery20thAfterIt) {
   VoteMonitor monitor;
   EpochProposal proposal;
   proposal.voters = {"h0", "h1", "h2"};
@@ -189,11 +189,11 @@
   ASSERT_TRUE(stalled);
   EXPECT_EQ(stalled->event, logging::Event::epochChangeStalled);
   EXPECT_EQ(stalled->about, "3 votes 1 of 2 needed, none from h1 h2");
-  std::size_t repeated = 0;
+  std::size_t furtherReports = 0;
   for (int ballot = 0; ballot < 40; ++ballot) {
-    repeated += monitor.ballotLost(proposal, 3, 2) ? 1 : 0;
+    furtherReports += monitor.ballotLost(proposal, 3, 2) ? 1 : 0;
   }
-  EXPECT_EQ(repeated, 2u);
+  EXPECT_EQ(furtherReports, 2u);
   monitor.epochDecided();
   EXPECT_FALSE(monitor.ballotLost(proposal, 4, 2));
 }
