--- a/libs/replication/src/epoch_change.cpp
+++ b/libs/replication/src/epoch_change.cpp
@@ -85,8 +85,8 @@
   }
 }
 
-// Takes over from a primary that is not alive to the failure detector. The backups try in the order of the record, each
-// `successorStaggerMs` after the one before.
+// Takes over from a primary that the failure detector no longer counts as alive. The backups try in the order of the
+// record, each `successorStaggerMs` after the one before.
 void ReplicationGroup::Impl::tickBackup() {
   std::vector<std::string> const& successors = acceptor.decided.backups;
   Ms const takeoverTimeout =
--- a/libs/replication/src/replication_group_impl.h
+++ b/libs/replication/src/replication_group_impl.h
@@ -64,6 +64,7 @@
   /// The last token given to a heartbeat or a Sync.
   std::uint64_t lastToken = 0;
   LeadershipConfirmation confirmation;
+  /// When this member started or adopted the decided epoch, whichever is later.
   TimePoint epochStableSince{};
   TimePoint startedAt{};
   std::uint64_t lastPersistToken = 0;
@@ -147,13 +148,18 @@
   void onWriteFailed(std::uint64_t token);
   void rewriteWhenDue();
   void onRewritten(std::uint64_t epochOnDisk);
+  /// Handles a message while the disk is unusable.
   void recordHeartbeatOnly(std::string const& from, messages::Message const& message);
+  /// Adopts a decided record of a later epoch. Leadership under the old epoch ends; if the record names this member as
+  /// the primary, leadership under the new one begins.
   void adoptEpoch(messages::EpochRecord const& record, bool withState = false);
   void beginLeadership();
   void endLeadership();
   void beginLeadershipSync();
+  /// Completes joining and the pending proposal once all replicas have synced the state.
   void checkCommit();
   void confirmLeadership();
+  /// Fences the decided epoch and steps down. The caller must persist the vote.
   void fenceSelf();
   void beginMembershipChange();
   void sendLeadershipSyncs();
