--- a/libs/control/include/limeramp/control/change_receipts.h
+++ b/libs/control/include/limeramp/control/change_receipts.h
@@ -5,34 +5,35 @@
 #include <cstddef>
 #include <cstdint>
 
-/// Idempotency keys of the changes that were taken last. They are part of the replicated state, so every later primary
-/// recognises the repetition of a change whose answer was lost.
+/// Idempotency keys of the newest changes. They are part of the replicated state, so every later primary recognises the
+/// repetition of a change whose answer was lost.
 ///
-/// A receipt holds digests of the change's key and content, never the texts: its size does not depend on what a caller
-/// sends. Receipts in the textual form of earlier versions are still recognised. When the oldest receipt is dropped,
-/// the state keeps the version and the revision of that change. A change built on an older base may have been taken and
-/// forgotten, so it must not be refused as if it had not been.
+/// A receipt holds digests of the change's key and content, never the texts, so its size does not depend on what a
+/// caller sends. Receipts in the textual form of versions before 0.2 are still recognised. When the oldest receipt is
+/// dropped, the state keeps the version and the revision of that change: a change on an older base may have been taken
+/// without a receipt being left, so it must not be refused as never taken.
 namespace limeramp::control {
 
-/// `otherContent`: the key was used before for another order.
+/// How an order compares with the receipts. `otherContent`: its key was used for an order with another content.
 enum class ReceiptMatch { none, same, otherContent };
 
-/// What the receipts say about an order.
+/// The result of looking up an order among the receipts.
 struct ReceiptLookup {
   ReceiptMatch match = ReceiptMatch::none;
-  /// The version that the change got, and its revision if it named one.
+  /// The version as which the change was taken, and the revision that it named; 0 if none.
   config::Version version;
   std::uint64_t revision = 0;
 };
 
-/// Looks an order up by its key.
+/// Looks up an order by its key.
 ReceiptLookup findReceipt(messages::State const& state, Change const& change);
 
-/// Notes in `state` that the change was taken as the state's current configuration. Keeps `most` receipts.
+/// Records in `state` that the change was taken as the state's current configuration. `revision` is the one that its
+/// document names, 0 if none. Drops the oldest receipts beyond `maximum`.
 void addReceipt(messages::State& state, Change const& change, std::uint64_t revision, std::size_t maximum);
 
-/// May the change have been taken although no receipt of it is left? `revision` is the one that its document names, 0
-/// if none. `most` is the number of receipts kept.
+/// True if the change may have been taken although no receipt of it is left. `revision` is the one that its document
+/// names, 0 if none. `maximum` is the number of receipts kept.
 bool mayBeForgotten(messages::State const& state, Change const& change, std::uint64_t revision, std::size_t maximum);
 
 }  // namespace limeramp::control
--- a/libs/control/include/limeramp/control/config_service.h
+++ b/libs/control/include/limeramp/control/config_service.h
@@ -13,93 +13,96 @@
 #include <variant>
 #include <vector>
 
-/// The operators' orders: changes of the configuration, zones to be evacuated, nodes to be removed, and reading back.
-/// It runs on every controller and does something on the primary only. docs/control.md has the argument why its answers
-/// hold.
+/// Carries out operators' orders: changes of the configuration, evacuation of zones, removal of nodes, and reads of the
+/// configuration. The service runs on every controller and accepts orders on the primary only. docs/control.md argues
+/// why its answers are linearizable.
 namespace limeramp::control {
 
 class OrderEvaluator;
 
-/// Times and bounds of the configuration service.
+/// Timeouts and bounds of the configuration service.
 struct ConfigServiceOptions {
-  /// How long a node serves under a state that nobody confirms (ConfigDeliveryOptions::currentMs).
+  /// How long a node serves under a state that no primary confirms (ConfigDeliveryOptions::currentMs).
   std::chrono::milliseconds nodeCurrentMs{2000};
-  /// An order is acknowledged without the nodes that are silent, if a majority has it, this long after it was
-  /// published.
+  /// How long after its publication an order waits for nodes that have not confirmed it. After that the confirmation
+  /// of a majority is enough to acknowledge it.
   std::chrono::milliseconds unresponsiveGraceMs{500};
-  /// With backups silent for longer, orders are declined at once: another primary may lead soon.
+  /// If the backups have not confirmed the leadership for longer than this, orders are declined at once, because
+  /// another primary may take over soon.
   std::chrono::milliseconds leadershipConfirmationMs{1200};
-  /// A node that was silent for so long leaves the roster.
+  /// A node that has not reported for this time is removed from the roster.
   std::chrono::milliseconds rosterForgetMs{60'000};
-  /// Changes of the roster are gathered for this time, and once more for each `rosterBatchNodes` nodes.
+  /// Changes of the roster are batched: one is proposed per interval. The interval is `rosterBatchMs`, plus
+  /// `rosterBatchMs` for each `rosterBatchNodes` nodes on the roster.
   std::chrono::milliseconds rosterBatchMs{100};
   std::size_t rosterBatchNodes = 24;
-  /// A node that was silent for so long is probed, again at the second interval.
+  /// A node that has not reported for `probeAfterMs` is probed, and then every `probeEveryMs`.
   std::chrono::milliseconds probeAfterMs{450};
   std::chrono::milliseconds probeEveryMs{250};
-  /// A node whose process is proved to have ended leaves the roster after this time.
+  /// A node is removed from the roster once probes over this time have proved that its process has ended.
   std::chrono::milliseconds gonePersistsMs{1000};
-  /// Orders that wait to be begun, and reads that wait for a confirmation.
+  /// Limit of the orders that wait to be started, of the node removals in progress, and of the reads that wait for the
+  /// leadership to be confirmed; each is counted on its own.
   std::size_t maxChanges = 64;
-  /// Orders that are carried out and not answered yet.
+  /// Limit of the orders that were started and are not answered yet.
   std::size_t maxWaitingAnswers = 256;
-  /// Orders whose repetition is recognised.
+  /// Number of the newest changes whose repetition is recognised.
   std::size_t maxReceipts = 256;
-  /// Nodes on the roster; further ones stay off it and refuse callers.
+  /// Limit of the nodes on the roster. Nodes beyond it stay off the roster and refuse callers.
   std::size_t maxNodes = 1000;
   std::size_t maxEvacuatedZones = 100;
   std::size_t maxDocumentBytes = 1 << 20;
 };
 
-/// An operator reads the configuration back.
+/// An operator's request to read the current configuration.
 struct Read {
   std::uint64_t ticket = 0;
   TimePoint deadline;
 };
 
-/// Time has passed. To be sent every 50 ms or so.
+/// Runs the timers of the service. Sent about every 50 ms.
 struct Tick {};
 /// A node's poll.
 struct StateRequestReceived {
   std::string address;
   messages::StateRequest poll;
 };
-/// What came of a Probe: `gone` is a proof that the process has ended.
+/// The result of a Probe.
 struct ProbeFinished {
   std::uint64_t token = 0;
-  /// Its process is proved to have ended.
+  /// True if the probe proved that the node's process has ended.
   bool gone = false;
 };
-/// An operator's word that these nodes are gone for good.
+/// An operator's statement that these nodes are permanently gone and are to leave the roster.
 struct RemoveNodes {
   std::uint64_t ticket = 0;
   std::vector<std::string> nodes;
   TimePoint deadline;
 };
 
-/// The caller of an order waits for its answer no longer. What was not begun will not be.
+/// The caller of an order no longer waits for its answer. If the order has not been started, it is dropped.
 struct CallerLeft {
   std::uint64_t ticket = 0;
 };
 
-/// What came of an EvaluateOrder.
+/// The result of an EvaluateOrder.
 struct OrderEvaluated {
   std::uint64_t token = 0;
   Evaluation evaluation;
 };
 
-/// The process will be stopped: take no new orders, finish what was begun.
+/// The process is shutting down: no new orders are accepted, and those that were started are completed.
 struct BeginShutdown {};
 
-/// Why an order was not begun that is carried out only while its caller waits.
+/// The reason given for an order that was dropped because its caller left before it was started.
 constexpr char const* callerLeftReason = "the caller has left";
 
-/// All that can happen to the service.
+/// The events that the service handles.
 using ConfigServiceEvent = std::variant<replication::BecamePrimary, replication::SteppedDown, replication::Committed,
                                         replication::OutcomeUnknown, Change, Read, StateRequestReceived, ProbeFinished,
                                         RemoveNodes, CallerLeft, OrderEvaluated, Tick, BeginShutdown>;
 
-/// The answer to an order. Given once for each ticket.
+/// The answer to an order, or to a Read that is declined. Each ticket gets one answer.
 struct OrderOutcome {
   std::uint64_t ticket = 0;
   OrderStatus verdict = OrderStatus::unknown;
@@ -108,7 +111,7 @@
   std::string reason;
 };
 
-/// The answer to a Read: linearizable.
+/// The linearizable answer to a Read.
 struct ConfigurationRead {
   std::uint64_t ticket = 0;
   config::Version version;
@@ -116,9 +119,9 @@
   std::string document;
 };
 
-/// Find out what this order means on this state, by OrderEvaluator::evaluate, and report it as OrderEvaluated. Reading
-/// long documents takes longer than a heartbeat may be late, so that it is not for the thread that steps the group. At
-/// most one evaluation is asked for before the last one was reported.
+/// Asks the caller to run OrderEvaluator::evaluate on this order and state and to report the result as OrderEvaluated.
+/// Parsing a long document can take longer than a heartbeat may be delayed, so it must not run on the thread that steps
+/// the replication group. At most one evaluation is outstanding at a time.
 struct EvaluateOrder {
   std::uint64_t token = 0;
   Change order;
@@ -127,37 +130,38 @@
   std::uint64_t epoch = 0;
 };
 
-/// Find out whether the process of this node still runs.
+/// Asks the caller to find out whether the process of this node still runs, and to report it as ProbeFinished.
 struct Probe {
   std::uint64_t token = 0;
   std::string node;
   std::string address;
 };
 
-/// All that a step can ask for.
+/// The effects that a step asks its caller to carry out.
 using ConfigServiceEffect = std::variant<replication::Proposal, OrderOutcome, ConfigurationRead, distribution::Outgoing,
                                          EvaluateOrder, Probe, replication::LogEntry>;
 
-/// What the primary knows about a node, for status pages.
+/// What the primary knows about a node on the roster, for status pages.
 struct NodeView {
   std::string node;
   std::string address;
   std::string zone;
   std::uint64_t slot = 0;
   config::Version confirmed;
-  /// Since its last report; meaningless if it never reported.
+  /// Time since the last report; meaningless if the node never reported.
   std::chrono::milliseconds sinceReportMs{0};
   bool everReported = false;
   bool gone = false;
 };
 
-/// A pure state machine beside a ReplicationGroup, whose events it is given and whose proposals it makes.
+/// A deterministic state machine without I/O. It handles the events of a ReplicationGroup and makes the proposals to
+/// it.
 ///
 /// Guarantees: an acknowledged change is on the disks of all replicas and in force at a majority of the nodes; no node
-/// serves an older one later than `nodeCurrentMs` after that; of two changes on one base at most one is taken; every
-/// definite answer is linearizable; an order for a zone whose caller left is not begun, and none is begun before the
-/// leadership was confirmed by an exchange that began after the order came. Copies are independent, for the model
-/// checker. Not safe for use by several threads.
+/// serves an older configuration later than `nodeCurrentMs` after that; of two changes on one base at most one is
+/// taken; every definite answer is linearizable. An order for a zone is started only after the leadership was confirmed
+/// by an exchange that began after the order arrived, and not at all if its caller has left by then. Copies are
+/// independent, for the model checker. Not safe for use by several threads.
 class ConfigService {
  public:
   ConfigService(ConfigServiceOptions const& options, std::string const& id,
@@ -168,21 +172,22 @@
   ConfigService& operator=(ConfigService const&);
   ConfigService& operator=(ConfigService&&) noexcept;
 
-  /// Takes one event. `group` must have taken the step that led to it already.
+  /// Handles one event and returns its effects. `group` must already have taken the step that caused the event.
   std::vector<ConfigServiceEffect> step(TimePoint now, replication::ReplicationGroup const& group,
                                         ConfigServiceEvent const& event);
 
-  /// Whether this controller is the primary.
+  /// True while this controller is the primary.
   bool active() const;
   /// The newest committed state, on the primary.
   messages::State const& published() const;
+  /// The nodes on the roster, for status pages.
   std::vector<NodeView> nodes(TimePoint now) const;
-  /// Orders that have no answer yet.
+  /// Number of orders that have no answer yet. Reads do not count.
   std::size_t pending() const;
-  /// Carries out what EvaluateOrder asks for. To be copied before other threads use it.
+  /// The evaluator for EvaluateOrder. Other threads must use a copy.
   OrderEvaluator const& evaluator() const;
 
-  /// A hash of everything that decides what later steps do, for the model checker. Times count as differences from now.
+  /// A hash of all state that affects later steps, for the model checker. Times are hashed relative to `now`.
   std::uint64_t digest(TimePoint now) const;
 
  private:
--- a/libs/control/include/limeramp/control/orders.h
+++ b/libs/control/include/limeramp/control/orders.h
@@ -10,57 +10,60 @@
 #include <variant>
 #include <vector>
 
-/// An operator's order and what it comes to.
+/// Operators' orders, and the results of their evaluation.
 namespace limeramp::control {
 
 /// The steady clock of this machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// An order that a zone be evacuated, or used again.
+/// An order to evacuate a zone (send it no work), or to use it again.
 struct ZoneOrder {
   std::string zone;
   bool evacuated = false;
 };
 
-/// An operator's order. Exactly one of a document, a patch and a zone order.
+/// An operator's order: a whole document, a patch of the current document, or a zone order.
 struct Change {
   std::uint64_t ticket = 0;
-  /// The idempotency key: the same at each repetition, at every node. Named by the caller, or derived from the content.
+  /// The idempotency key, equal for all repetitions of an order at all nodes. The caller names it, or it is derived
+  /// from the content.
   std::string id;
-  /// The version that it must replace, if the caller names one.
+  /// The version that must be current for the change to be taken, if the caller names one.
   std::optional<config::Version> base;
   bool patch = false;
   std::string body;
   TimePoint deadline;
+  /// The revision that must be current for the change to be taken, if the caller names one.
   std::optional<std::uint64_t> baseRevision{};
   std::optional<ZoneOrder> zone{};
-  /// The key was derived from a content that names no base: it does not tell a repetition from a new wish.
+  /// True if the key was derived from a content that names no base. Such a key does not distinguish a repetition from a
+  /// new order with the same content.
   bool keyedByContentOnly = false;
 };
 
-/// How an order ended. `taken`, `refused` and `conflict` are definite and linearizable. `notRun`: this call changed
-/// nothing and will change nothing. `unknown`: it may have taken effect, or may still do so.
+/// The outcome of an order. `taken`, `refused` and `conflict` are definite and linearizable. `notRun`: this call
+/// changed nothing and will change nothing. `unknown`: the order may have taken effect, or may still do so.
 enum class OrderStatus { taken, refused, conflict, notRun, unknown };
 
-/// The order is new and valid here: this state is to be replicated.
+/// The order is new and valid: `next` is the state to replicate.
 struct NewState {
   messages::State next;
 };
 
-/// Nothing is left to do: this very change was taken as `version`, or the zone is already as ordered.
+/// Nothing is left to do: this change was already taken as `version`, or the zone is already in the ordered state.
 struct AlreadyTaken {
   config::Version version;
 };
 
-/// The order is not carried out. `conflict` and `refused` say that it never was and is not in force; `unknown` says
-/// that the state does not tell any more.
+/// The order is not carried out. `conflict` and `refused` state that it was never taken and is not in force; `unknown`
+/// states that the receipts no longer show whether it was taken.
 struct Rejection {
   OrderStatus verdict = OrderStatus::refused;
   std::string reason;
   std::vector<config::Problem> problems;
 };
 
-/// What is to be done about an order.
+/// The result of evaluating an order on one state.
 using Evaluation = std::variant<NewState, AlreadyTaken, Rejection>;
 
 }  // namespace limeramp::control
--- a/libs/control/include/limeramp/control/zones.h
+++ b/libs/control/include/limeramp/control/zones.h
@@ -6,10 +6,10 @@
 #include <set>
 #include <string>
 
-/// Operators' orders that a zone be evacuated or used again.
+/// The zones that are evacuated, by operators' orders or by the configuration.
 namespace limeramp::control {
 
-/// The zones that get no work: those that operators ordered to be evacuated and those that the configuration names.
+/// The zones that get no work: those evacuated by operators' orders and those that the configuration names.
 std::set<std::string> evacuatedZones(messages::State const& state, config::Configuration const& configuration);
 
 }  // namespace limeramp::control
--- a/libs/control/src/acknowledgement_tracker.cpp
+++ b/libs/control/src/acknowledgement_tracker.cpp
@@ -6,7 +6,7 @@
 
 namespace limeramp::control {
 
-std::vector<PendingAcknowledgement> AcknowledgementTracker::takeInForce(InForce const& inForce) {
+std::vector<PendingAcknowledgement> AcknowledgementTracker::takeInForce(InForcePredicate const& inForce) {
   return takeIf(pending_, inForce);
 }
 
--- a/libs/control/src/acknowledgement_tracker.h
+++ b/libs/control/src/acknowledgement_tracker.h
@@ -11,34 +11,36 @@
 
 namespace limeramp::control {
 
-/// An order that is carried out, and is acknowledged once enough nodes have it in force.
+/// A committed order that is acknowledged once enough nodes have it in force.
 struct PendingAcknowledgement {
   std::uint64_t ticket = 0;
-  /// The state that carries the order; nodes confirm this version or a later one.
+  /// The version of the state that contains the order. Nodes confirm this version or a later one.
   StateVersion stateVersion;
-  /// The configuration version that the caller is told.
+  /// The configuration version given to the caller.
   config::Version version;
   /// When that state was published.
   TimePoint since{};
   TimePoint deadline{};
-  /// Set if nothing was replicated for this order: the leadership must be confirmed as of this time.
+  /// The time of arrival, set if nothing was replicated for this order: the leadership must then be confirmed as of
+  /// this time before the order is acknowledged.
   std::optional<TimePoint> arrivedAt;
 };
 
-/// Holds the orders that are carried out and not yet acknowledged. When one counts as in force is decided by the
-/// configuration service, which knows the roster and the leadership.
+/// Holds the committed orders that are not yet acknowledged. The configuration service decides whether an order is in
+/// force, since it knows the roster and the leadership.
 class AcknowledgementTracker {
  public:
-  using InForce = std::function<bool(PendingAcknowledgement const&)>;
+  using InForcePredicate = std::function<bool(PendingAcknowledgement const&)>;
 
   std::size_t size() const { return pending_.size(); }
   void add(PendingAcknowledgement entry) { pending_.push_back(entry); }
 
-  /// Takes out those that are in force: they are acknowledged.
-  std::vector<PendingAcknowledgement> takeInForce(InForce const& inForce);
-  /// Takes out those whose deadline has passed: they are kept, and their outcome is unknown to the caller.
+  /// Removes and returns the orders that are in force, to be acknowledged.
+  std::vector<PendingAcknowledgement> takeInForce(InForcePredicate const& inForce);
+  /// Removes and returns the orders whose deadline has passed. Their changes stay in the state; their callers are told
+  /// that the outcome is unknown.
   std::vector<PendingAcknowledgement> takeExpired(TimePoint now);
-  /// Takes out all: the leadership ended.
+  /// Removes and returns all orders, when the leadership ends.
   std::vector<PendingAcknowledgement> takeAll();
 
   void digest(messages::StateDigest& digest) const;
--- a/libs/control/src/answer_gate.cpp
+++ b/libs/control/src/answer_gate.cpp
@@ -23,7 +23,7 @@
     digest.add(pending.ticket);
     digest.add(pending.arrivedAt);
     digest.add(pending.deadline);
-    digest.add(pending.decision.has_value());
+    digest.add(pending.outcome.has_value());
   }
 }
 
--- a/libs/control/src/change_receipts.cpp
+++ b/libs/control/src/change_receipts.cpp
@@ -28,8 +28,8 @@
   return textOf(canonical.digest);
 }
 
-/// The digest in receipts of versions before 0.2.
-std::string textualDigestOf(Change const& change) {
+/// The digest of the change in the textual receipts of versions before 0.2.
+std::string legacyDigestOf(Change const& change) {
   return std::to_string(XXH64(change.body.data(), change.body.size(), 0)) + "/" + std::to_string(change.body.size()) +
          (change.patch ? "/patch" : "/whole");
 }
@@ -40,16 +40,16 @@
 
 config::Version versionOf(messages::Receipt const& receipt) { return {receipt.epoch, receipt.sequence}; }
 
-/// The newest change without a receipt.
-struct Forgotten {
+/// The version and revision of the newest change whose receipt was dropped.
+struct ForgottenChange {
   config::Version version;
   std::uint64_t revision = 0;
 };
 
-Forgotten forgottenOf(messages::State const& state, std::size_t maximum) {
-  bool const fullListOfAnEarlierVersion =
+ForgottenChange newestForgotten(messages::State const& state, std::size_t maximum) {
+  bool const isFullLegacyList =
       state.forgottenEpoch == 0 && state.receipts.size() >= maximum && !isCompact(state.receipts.front());
-  if (fullListOfAnEarlierVersion) {
+  if (isFullLegacyList) {
     return {versionOf(state.receipts.front()), state.revision};
   }
   return {{state.forgottenEpoch, state.forgottenSequence}, state.forgottenRevision};
@@ -73,7 +73,7 @@
     if (receipt.change != (compact ? key : change.id)) {
       continue;
     }
-    bool const same = receipt.digest == (compact ? digestOf(change) : textualDigestOf(change));
+    bool const same = receipt.digest == (compact ? digestOf(change) : legacyDigestOf(change));
     return {same ? ReceiptMatch::same : ReceiptMatch::otherContent, versionOf(receipt), receipt.revision};
   }
   return {};
@@ -88,7 +88,7 @@
 }
 
 bool mayBeForgotten(messages::State const& state, Change const& change, std::uint64_t revision, std::size_t maximum) {
-  Forgotten const forgotten = forgottenOf(state, maximum);
+  ForgottenChange const forgotten = newestForgotten(state, maximum);
   if (change.base) {
     return *change.base < forgotten.version;
   }
--- a/libs/control/src/config_service.cpp
+++ b/libs/control/src/config_service.cpp
@@ -1,4 +1,4 @@
-// The service as its callers see it, and what begins and ends with the leadership.
+// The public interface of ConfigService, and the handling of the beginning and the end of a leadership.
 #include "config_service_impl.h"
 
 #include "limeramp/messages/state_digest.h"
@@ -23,7 +23,7 @@
   active = true;
   activeAt = now;
   rosterStable = false;
-  tracker.begin(now);
+  tracker.leadershipBegan(now);
   publish(event.state);
 }
 
@@ -31,18 +31,18 @@
   active = false;
   rejectQueued("the primary changed before the change was begun");
   for (PendingAcknowledgement const& entry : acknowledgements.takeAll()) {
-    decide(entry.ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
+    emitOutcome(entry.ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
   }
   for (AnswerGate* const gate : {&reads, &refusals}) {
     for (PendingAnswer const& pending : gate->takeAll()) {
-      decide(pending.ticket, OrderStatus::notRun, textOf(OrderObstacle::notPrimary));
+      emitOutcome(pending.ticket, OrderStatus::notRun, textOf(OrderObstacle::notPrimary));
     }
   }
   for (NodeRemoval const& entry : removals.takeAll()) {
-    decide(entry.ticket, OrderStatus::unknown,
-           "the primary changed before the roster was known to be without these nodes");
+    emitOutcome(entry.ticket, OrderStatus::unknown,
+                "the primary changed before the roster was known to be without these nodes");
   }
-  tracker.end();
+  tracker.leadershipEnded();
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const&, BeginShutdown const&) {
@@ -55,7 +55,7 @@
   probe();
   completeAcknowledged();
   releaseConfirmed();
-  expire();
+  answerExpired();
   startNext(group);
 }
 
@@ -98,12 +98,12 @@
     digest.add(evaluation->answered);
     digest.add(evaluation->cancelled);
   }
-  digest.add(inProgress.has_value());
-  if (inProgress) {
-    digestOrder(digest, *inProgress);
-    digest.add(inProgressAnswered);
+  digest.add(proposedOrder.has_value());
+  if (proposedOrder) {
+    digestOrder(digest, *proposedOrder);
+    digest.add(proposedOrderAnswered);
   }
-  digest.add(inProgressTicket);
+  digest.add(proposalTicket);
   acknowledgements.digest(digest);
   removals.digest(digest);
 }
@@ -119,7 +119,7 @@
   digest.add(impl.published);
   digest.add(impl.publishedAt);
   digest.add(impl.rosterStable);
-  digest.addDeadline(impl.nextRosterAt);
+  digest.addDeadline(impl.nextRosterChangeAt);
   impl.digestOrders(digest);
   impl.reads.digest(digest);
   impl.refusals.digest(digest);
--- a/libs/control/src/config_service_impl.h
+++ b/libs/control/src/config_service_impl.h
@@ -18,25 +18,26 @@
 
 using Ms = std::chrono::milliseconds;
 
-/// Why an order cannot be carried out here now. Nothing of it has run, so the caller may try another node.
+/// Why this node cannot carry out an order now. Nothing of the order has run, so the caller may try another node.
 enum class OrderObstacle { notPrimary, backupUnresponsive, shuttingDown };
 
-/// The reason that a caller is told.
+/// The reason that the caller is given.
 std::string textOf(OrderObstacle obstacle);
 
-/// An order whose meaning is being found out.
+/// An order that is being evaluated, from EvaluateOrder to OrderEvaluated.
 struct PendingEvaluation {
   std::uint64_t token = 0;
   QueuedOrder queued;
-  /// Its deadline has passed and its caller was told that the outcome is unknown. It is begun all the same: given up, a
-  /// change that takes longer to read than callers wait would never be taken, however often it is repeated.
+  /// The order's deadline has passed, and its caller was told that the outcome is unknown. The order is started all the
+  /// same when its evaluation ends: otherwise a change that takes longer to parse than callers wait would never be
+  /// taken, however often it is repeated.
   bool answered = false;
-  /// It will not be begun: the leadership, or the work of this process, has ended.
+  /// The order will not be started, because the leadership has ended or this process is shutting down.
   bool cancelled = false;
 };
 
-/// All of the service. The functions stand by job: order_processing.cpp has orders and reads, state_publishing.cpp what
-/// nodes are sent and report, roster_changes.cpp the roster, config_service.cpp the beginning and the end of a
+/// The state of the service and its event handlers. order_processing.cpp handles orders and reads, state_publishing.cpp
+/// the exchange with the nodes, roster_changes.cpp the roster, config_service.cpp the beginning and the end of a
 /// leadership.
 struct ConfigService::Impl {
   Impl(ConfigServiceOptions const& optionsIn, std::string const& idIn, config::ConfigSchema schema)
@@ -58,19 +59,25 @@
   distribution::StateFeed feed;
   NodeRemovals removals;
   OrderQueue queue;
-  /// Set from an EvaluateOrder to its report. No other state is proposed meanwhile, so that the evaluated state is the
-  /// published one for as long as the leadership lasts.
+  /// Set from an EvaluateOrder to its OrderEvaluated. No state is proposed meanwhile, so while the leadership lasts the
+  /// state that the order is evaluated on stays the published one.
   std::optional<PendingEvaluation> evaluation;
-  std::uint64_t lastEvaluation = 0;
-  std::optional<Change> inProgress;
-  bool inProgressAnswered = false;
-  std::uint64_t lastOwnTicket = 1ULL << 60;
-  std::uint64_t inProgressTicket = 0;
+  std::uint64_t lastEvaluationToken = 0;
+  /// The order whose state was proposed and has no outcome yet. Empty if the proposal changes the roster only.
+  std::optional<Change> proposedOrder;
+  /// The caller of the proposed order was answered already.
+  bool proposedOrderAnswered = false;
+  std::uint64_t lastProposalTicket = 1ULL << 60;
+  /// The ticket of the proposal that has no outcome yet, 0 if there is none.
+  std::uint64_t proposalTicket = 0;
   AcknowledgementTracker acknowledgements;
   AnswerGate reads;
   AnswerGate refusals;
+  /// False from the publication of a new roster until majorities of it and of the prior roster have confirmed it. The
+  /// roster is not changed again meanwhile.
   bool rosterStable = false;
-  TimePoint nextRosterAt{};
+  /// The earliest time of the next change of the roster.
+  TimePoint nextRosterChangeAt{};
 
   void on(replication::ReplicationGroup const& group, replication::BecamePrimary const& event);
   void on(replication::ReplicationGroup const& group, replication::SteppedDown const& event);
@@ -87,38 +94,41 @@
   void on(replication::ReplicationGroup const& group, BeginShutdown const& event);
 
   StateVersion stateVersion() const { return published.version(); }
-  void decide(std::uint64_t ticket, OrderStatus verdict, std::string reason = "", config::Version version = {},
-              std::vector<config::Problem> problems = {}) {
+  void emitOutcome(std::uint64_t ticket, OrderStatus verdict, std::string reason = "", config::Version version = {},
+                   std::vector<config::Problem> problems = {}) {
     effects.emplace_back(OrderOutcome{ticket, verdict, version, std::move(problems), std::move(reason)});
   }
-  /// The backups have been silent for so long that another primary may lead soon. Spares callers the wait for an answer
-  /// that would not come; what may be answered is decided by `confirmedSince` alone.
-  bool isUnconfirmed() const { return now - confirmedAt.value_or(activeAt) > options.leadershipConfirmationMs; }
-  bool mayLead() const { return active && !isUnconfirmed(); }
-  /// Why this node cannot carry out an order now; nothing if it can.
+  /// True if the backups have not confirmed the leadership for so long that another primary may take over soon. Orders
+  /// are then declined at once instead of waiting for a confirmation. Whether an answer may be given is decided by
+  /// `confirmedSince` alone.
+  bool isLeadershipUnconfirmed() const {
+    return now - confirmedAt.value_or(activeAt) > options.leadershipConfirmationMs;
+  }
+  bool isConfirmedPrimary() const { return active && !isLeadershipUnconfirmed(); }
+  /// Why this node cannot carry out an order now; empty if it can.
   std::optional<OrderObstacle> orderObstacle() const {
     return shuttingDown ? OrderObstacle::shuttingDown : readObstacle();
   }
-  /// The same for a read, which is answered during a shutdown too.
+  /// Why this node cannot answer a read now; empty if it can. Reads are answered during a shutdown too.
   std::optional<OrderObstacle> readObstacle() const {
     if (!active) {
       return OrderObstacle::notPrimary;
     }
-    return isUnconfirmed() ? std::optional(OrderObstacle::backupUnresponsive) : std::nullopt;
+    return isLeadershipUnconfirmed() ? std::optional(OrderObstacle::backupUnresponsive) : std::nullopt;
   }
-  /// Why a queued order is not carried out any more; nothing if it may be.
+  /// Why a queued order must not be started any more; empty if it may be.
   std::optional<std::string> reasonToDecline(QueuedOrder const& queued) const;
-  /// Whether a queued order is carried out, or declined, now. An order for a zone waits until the leadership is
-  /// confirmed as of its arrival: by then the news that its caller has left is here, if it left before the order came.
+  /// True if a queued order can be started or declined now. An order for a zone waits until the leadership is confirmed
+  /// as of its arrival: if its caller left before the order arrived, CallerLeft has been handled by then.
   bool isDue(QueuedOrder const& queued) const {
     return !queued.order.zone || confirmedSince(confirmedAt, queued.arrivedAt) || reasonToDecline(queued).has_value();
   }
   std::size_t waitingAnswers() const { return acknowledgements.size() + refusals.size() + removals.size(); }
-  bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted) const {
-    return tracker.majorityConfirmed(roster, wanted, published.epoch);
+  bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& version) const {
+    return tracker.majorityConfirmed(roster, version, published.epoch);
   }
-  bool allConfirmed(StateVersion const& wanted) const {
-    return tracker.allConfirmed(published.roster, wanted, published.epoch);
+  bool allConfirmed(StateVersion const& version) const {
+    return tracker.allConfirmed(published.roster, version, published.epoch);
   }
   void recordReport(messages::Follower const& follower, messages::PeerStatus const& peerStatus, bool direct);
   void probe();
@@ -129,17 +139,17 @@
   void cancelEvaluation(std::string const& reason);
   void expireEvaluation();
   void evaluate(replication::ReplicationGroup const& group, QueuedOrder queued);
-  void begin(QueuedOrder const& queued, Evaluation evaluated);
-  void beginAnswered(QueuedOrder const& queued, Evaluation evaluated);
-  void begin(QueuedOrder const& queued, NewState proposal);
-  void begin(QueuedOrder const& queued, AlreadyTaken const& taken);
-  void begin(QueuedOrder const& queued, Rejection rejection);
+  void handleEvaluation(QueuedOrder const& queued, Evaluation evaluated);
+  void handleAnsweredEvaluation(QueuedOrder const& queued, Evaluation evaluated);
+  void handleEvaluation(QueuedOrder const& queued, NewState proposal);
+  void handleEvaluation(QueuedOrder const& queued, AlreadyTaken const& taken);
+  void handleEvaluation(QueuedOrder const& queued, Rejection rejection);
   void deferRefusal(std::uint64_t ticket, TimePoint arrivedAt, TimePoint deadline, OrderOutcome refusal);
   void rejectQueued(std::string const& reason);
   void completeAcknowledged();
   bool inForce(PendingAcknowledgement const& entry) const;
   void releaseConfirmed();
-  void expire();
+  void answerExpired();
   messages::StateResponse response(messages::StateRequest const& poll,
                                    replication::ReplicationGroup const& group) const;
   void digestOrders(messages::StateDigest& digest) const;
--- a/libs/control/src/node_removals.cpp
+++ b/libs/control/src/node_removals.cpp
@@ -19,7 +19,9 @@
   return problems;
 }
 
-std::vector<NodeRemoval> NodeRemovals::takeCompleted(Completed const& completed) { return takeIf(pending_, completed); }
+std::vector<NodeRemoval> NodeRemovals::takeCompleted(CompletedPredicate const& completed) {
+  return takeIf(pending_, completed);
+}
 
 std::vector<NodeRemoval> NodeRemovals::takeExpired(TimePoint now) {
   return takeIf(pending_, [now](NodeRemoval const& entry) { return now >= entry.deadline; });
--- a/libs/control/src/node_removals.h
+++ b/libs/control/src/node_removals.h
@@ -10,9 +10,10 @@
 #include <string>
 #include <vector>
 
-/// Operators' orders that nodes which are gone for good leave the roster at once.
+/// Operators' orders to remove nodes that are permanently gone from the roster at once.
 namespace limeramp::control {
 
+/// An accepted order that is answered once the roster without these nodes is known to a majority.
 struct NodeRemoval {
   std::uint64_t ticket = 0;
   std::set<std::string> nodes;
@@ -20,21 +21,24 @@
   TimePoint deadline{};
 };
 
-/// Why these nodes cannot be removed: one is on neither roster, or it reports. Empty if they can.
+/// The reasons why nodes cannot be removed: a node is on neither the current nor the prior roster, or it is alive.
+/// Empty if all can be removed.
 std::vector<config::Problem> removalProblems(TimePoint now, std::vector<std::string> const& nodes,
                                              messages::State const& published, NodeTracker const& tracker);
 
-/// Holds the orders that were taken and are answered once the roster without the nodes is known to a majority.
+/// Holds the accepted removal orders that are not answered yet.
 class NodeRemovals {
  public:
-  using Completed = std::function<bool(NodeRemoval const&)>;
+  using CompletedPredicate = std::function<bool(NodeRemoval const&)>;
 
   std::size_t size() const { return pending_.size(); }
   void add(NodeRemoval removal) { pending_.push_back(std::move(removal)); }
 
-  std::vector<NodeRemoval> takeCompleted(Completed const& completed);
+  /// Removes and returns the orders for which `completed` is true.
+  std::vector<NodeRemoval> takeCompleted(CompletedPredicate const& completed);
+  /// Removes and returns the orders whose deadline has passed.
   std::vector<NodeRemoval> takeExpired(TimePoint now);
-  /// Takes out all: the leadership ended.
+  /// Removes and returns all orders, when the leadership ends.
   std::vector<NodeRemoval> takeAll();
 
   void digest(messages::StateDigest& digest) const;
--- a/libs/control/src/node_tracker.cpp
+++ b/libs/control/src/node_tracker.cpp
@@ -13,21 +13,21 @@
 
 }  // namespace
 
-void NodeTracker::begin(TimePoint now) {
-  activeAt_ = now;
-  publishings_.clear();
+void NodeTracker::leadershipBegan(TimePoint now) {
+  leadershipBeganAt_ = now;
+  publishedAt_.clear();
 }
 
-void NodeTracker::end() {
-  for (std::pair<std::string const, DeathProof>& entry : proofs_) {
+void NodeTracker::leadershipEnded() {
+  for (std::pair<std::string const, ExitRecord>& entry : exitRecords_) {
     entry.second.removedByOperator = false;
   }
 }
 
-void NodeTracker::published(TimePoint now, StateVersion const& version) {
-  publishings_[version] = now;
-  if (publishings_.size() > 4 * options_.maxChanges) {
-    publishings_.erase(publishings_.begin());
+void NodeTracker::recordPublished(TimePoint now, StateVersion const& version) {
+  publishedAt_[version] = now;
+  if (publishedAt_.size() > 4 * options_.maxChanges) {
+    publishedAt_.erase(publishedAt_.begin());
   }
 }
 
@@ -48,7 +48,7 @@
   }
   incarnations_.merge(status.incarnations);
   TrackedNode& entry = nodes_[follower.node];
-  if (status.boot != 0 && status.boot == entry.leftBoot && !direct && !status.draining) {
+  if (status.boot != 0 && status.boot == entry.drainedBoot && !direct && !status.draining) {
     return true;
   }
   bool const known = !entry.follower.address.empty();
@@ -59,13 +59,13 @@
   if (moved || entry.boot != status.boot) {
     entry.confirmed = {0, 0};
   }
-  std::map<std::string, DeathProof>::iterator const proof = proofs_.find(follower.node);
-  if (proof != proofs_.end() && (status.boot != entry.boot || direct)) {
-    proof->second.removedByOperator = false;
+  std::map<std::string, ExitRecord>::iterator const record = exitRecords_.find(follower.node);
+  if (record != exitRecords_.end() && (status.boot != entry.boot || direct)) {
+    record->second.removedByOperator = false;
   }
   entry.boot = status.boot;
   entry.draining = status.draining;
-  entry.leftBoot = status.draining ? status.boot : entry.leftBoot;
+  entry.drainedBoot = status.draining ? status.boot : entry.drainedBoot;
   entry.follower = follower;
   entry.confirmed = std::max(entry.confirmed, StateVersion{follower.epoch, follower.sequence});
   entry.lastReceivedAt = now;
@@ -78,31 +78,31 @@
   return found == nodes_.end() ? nullptr : &found->second;
 }
 
-bool NodeTracker::confirmed(std::string const& node, StateVersion const& wanted, std::uint64_t epoch) const {
+bool NodeTracker::confirmed(std::string const& node, StateVersion const& version, std::uint64_t epoch) const {
   TrackedNode const* const found = find(node);
-  if (found == nullptr || found->confirmed < wanted || found->confirmed.epoch > epoch) {
+  if (found == nullptr || found->confirmed < version || found->confirmed.epoch > epoch) {
     return false;
   }
   return incarnations_.trusts(node, found->boot);
 }
 
-bool NodeTracker::gone(std::string const& node, StateVersion const& wanted) const {
-  std::map<std::string, DeathProof>::const_iterator const found = proofs_.find(node);
-  if (found == proofs_.end()) {
+bool NodeTracker::provedGone(std::string const& node, StateVersion const& version) const {
+  std::map<std::string, ExitRecord>::const_iterator const found = exitRecords_.find(node);
+  if (found == exitRecords_.end()) {
     return false;
   }
-  std::map<StateVersion, TimePoint>::const_iterator const since = publishings_.lower_bound(wanted);
-  return found->second.removedByOperator || (since != publishings_.end() && found->second.goneAt > since->second);
+  std::map<StateVersion, TimePoint>::const_iterator const since = publishedAt_.lower_bound(version);
+  return found->second.removedByOperator || (since != publishedAt_.end() && found->second.goneAt > since->second);
 }
 
 bool NodeTracker::persistentlyGone(TimePoint now, std::string const& node) const {
-  std::map<std::string, DeathProof>::const_iterator const found = proofs_.find(node);
-  if (found == proofs_.end()) {
+  std::map<std::string, ExitRecord>::const_iterator const found = exitRecords_.find(node);
+  if (found == exitRecords_.end()) {
     return false;
   }
-  DeathProof const& proof = found->second;
-  return proof.removedByOperator ||
-         (proof.goneAt > lastReceivedAt(node) && proof.goneAt - proof.firstGoneAt >= options_.gonePersistsMs &&
+  ExitRecord const& record = found->second;
+  return record.removedByOperator ||
+         (record.goneAt > lastReceivedAt(node) && record.goneAt - record.firstGoneAt >= options_.gonePersistsMs &&
           now - lastReceivedAt(node) > options_.nodeCurrentMs);
 }
 
@@ -113,22 +113,22 @@
 
 TimePoint NodeTracker::lastReceivedAt(std::string const& node) const {
   TrackedNode const* const found = find(node);
-  return found == nullptr ? activeAt_ : std::max(activeAt_, found->lastReceivedAt);
+  return found == nullptr ? leadershipBeganAt_ : std::max(leadershipBeganAt_, found->lastReceivedAt);
 }
 
-bool NodeTracker::majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+bool NodeTracker::majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& version,
                                     std::uint64_t epoch) const {
   std::size_t const count =
       static_cast<std::size_t>(std::count_if(roster.begin(), roster.end(), [&](messages::RosterEntry const& entry) {
-        return confirmed(entry.node, wanted, epoch) || gone(entry.node, wanted);
+        return confirmed(entry.node, version, epoch) || provedGone(entry.node, version);
       }));
   return roster.empty() || count > roster.size() / 2;
 }
 
-bool NodeTracker::allConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+bool NodeTracker::allConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& version,
                                std::uint64_t epoch) const {
   return std::all_of(roster.begin(), roster.end(), [&](messages::RosterEntry const& entry) {
-    return confirmed(entry.node, wanted, epoch) || gone(entry.node, wanted);
+    return confirmed(entry.node, version, epoch) || provedGone(entry.node, version);
   });
 }
 
@@ -138,27 +138,27 @@
     if (now - lastReceivedAt(entry.node) < options_.probeAfterMs) {
       continue;
     }
-    DeathProof& proof = proofs_[entry.node];
-    if (now - proof.probedAt >= options_.probeEveryMs) {
-      proof.probedAt = now;
-      proof.token = ++lastProbe_;
-      due.push_back({proof.token, entry.node, entry.address});
+    ExitRecord& record = exitRecords_[entry.node];
+    if (now - record.probedAt >= options_.probeEveryMs) {
+      record.probedAt = now;
+      record.token = ++lastProbeToken_;
+      due.push_back({record.token, entry.node, entry.address});
     }
   }
   return due;
 }
 
-void NodeTracker::probed(ProbeFinished const& answer) {
-  for (std::pair<std::string const, DeathProof>& entry : proofs_) {
-    DeathProof& proof = entry.second;
-    if (proof.token != answer.token || answer.token == 0) {
+void NodeTracker::recordProbe(ProbeFinished const& answer) {
+  for (std::pair<std::string const, ExitRecord>& entry : exitRecords_) {
+    ExitRecord& record = entry.second;
+    if (record.token != answer.token || answer.token == 0) {
       continue;
     }
     if (answer.gone) {
-      proof.firstGoneAt = proof.firstGoneAt <= lastReceivedAt(entry.first) ? proof.probedAt : proof.firstGoneAt;
-      proof.goneAt = std::max(proof.goneAt, proof.probedAt);
+      record.firstGoneAt = record.firstGoneAt <= lastReceivedAt(entry.first) ? record.probedAt : record.firstGoneAt;
+      record.goneAt = std::max(record.goneAt, record.probedAt);
     } else {
-      proof.firstGoneAt = {};
+      record.firstGoneAt = {};
     }
   }
 }
@@ -167,7 +167,7 @@
   std::erase_if(nodes_, [&](std::pair<std::string const, TrackedNode> const& entry) {
     return now - entry.second.lastReceivedAt > options_.rosterForgetMs * 2;
   });
-  std::erase_if(proofs_, [&](std::pair<std::string const, DeathProof> const& entry) {
+  std::erase_if(exitRecords_, [&](std::pair<std::string const, ExitRecord> const& entry) {
     return !entry.second.removedByOperator && now - entry.second.probedAt > options_.rosterForgetMs * 2;
   });
 }
@@ -178,14 +178,14 @@
     TrackedNode const& node = entry.second;
     digest.add(node.follower);
     digest.add(node.boot);
-    digest.add(node.leftBoot);
+    digest.add(node.drainedBoot);
     digest.add(node.draining);
     digest.add(node.confirmed.epoch);
     digest.add(node.confirmed.sequence);
     digest.add(node.lastReceivedAt);
     digest.add(node.direct);
   }
-  for (std::pair<std::string const, DeathProof> const& entry : proofs_) {
+  for (std::pair<std::string const, ExitRecord> const& entry : exitRecords_) {
     digest.add(entry.first);
     digest.add(entry.second.token);
     digest.add(entry.second.probedAt);
@@ -194,7 +194,7 @@
     digest.add(entry.second.removedByOperator);
   }
   digest.add(incarnations_.list());
-  for (std::pair<StateVersion const, TimePoint> const& entry : publishings_) {
+  for (std::pair<StateVersion const, TimePoint> const& entry : publishedAt_) {
     digest.add(entry.first.epoch);
     digest.add(entry.first.sequence);
     digest.add(entry.second);
--- a/libs/control/src/node_tracker.h
+++ b/libs/control/src/node_tracker.h
@@ -10,71 +10,88 @@
 #include <utility>
 #include <vector>
 
-/// What the primary knows about the nodes that follow it: which version each has confirmed, when it was last heard, and
-/// whether the process behind a silent node is proved to have ended. The majority rule of docs/control.md, "When nodes
-/// hear nothing", is counted here. Pure bookkeeping: no clock, no socket.
+/// The primary's view of the nodes that follow it: which version each has confirmed, when it last reported, and whether
+/// the process of a node that does not report is proved to have ended. Evaluates the majority rule of docs/control.md,
+/// "When nodes hear nothing". Uses no clock and no socket; the caller passes the time.
 namespace limeramp::control {
 
 using messages::StateVersion;
 
-/// The last report of one node, in a poll of its own or in that of the home of its zone.
+/// The last report of one node, in its own poll or in the poll of a peer that reports for it.
 struct TrackedNode {
   messages::Follower follower;
+  /// Identifies the start of the node's process; 0 if unknown.
   std::uint64_t boot = 0;
-  std::uint64_t leftBoot = 0;
+  /// The boot that last reported that it is draining. Later relayed reports of it that do not say so are outdated.
+  std::uint64_t drainedBoot = 0;
   bool draining = false;
   StateVersion confirmed;
   TimePoint lastReceivedAt{};
+  /// The last report came in the node's own poll.
   bool direct = false;
 };
 
-/// What is known about the death of a silent node.
-struct DeathProof {
+/// What probes and operators have told about the end of a node's process.
+struct ExitRecord {
+  /// The token and the start of the newest probe.
   std::uint64_t token = 0;
   TimePoint probedAt{};
+  /// The start of the first and of the newest probe since the last report that proved the end of the process. A probe
+  /// without that proof resets `firstGoneAt`.
   TimePoint firstGoneAt{};
   TimePoint goneAt{};
   bool removedByOperator = false;
 };
 
+/// Tracks the reports and probes of all nodes. Not safe for use by several threads.
 class NodeTracker {
  public:
   explicit NodeTracker(ConfigServiceOptions const& options) : options_(options) {}
 
-  /// A leadership begins: what was published before it proves nothing, and silence counts from now.
-  void begin(TimePoint now);
-  /// The leadership ends: an operator's word that a node is gone held for it alone.
-  void end();
-  /// A state of this version goes out to the nodes.
-  void published(TimePoint now, StateVersion const& version);
+  /// Called when a leadership begins. Publication times of earlier leaderships are dropped, since they prove nothing,
+  /// and the time without reports counts from `now`.
+  void leadershipBegan(TimePoint now);
+  /// Called when the leadership ends. Operators' statements that a node is gone hold for one leadership only.
+  void leadershipEnded();
+  /// Records that the state of this version is sent to the nodes.
+  void recordPublished(TimePoint now, StateVersion const& version);
 
-  /// Takes in what the sender of a poll knows of incarnations. False if it knows some that are not known here and that
-  /// might overrule what the poll confirms.
+  /// Merges the incarnations that the sender of a poll knows. False if the sender knows incarnations that are not known
+  /// here and might invalidate what the poll confirms.
   bool learnIncarnations(messages::StateRequest const& poll);
 
-  /// Takes in one node's report. False if the node was heard at another address just before.
+  /// Records one node's report. False if the node reported from another address within `nodeCurrentMs`; the report is
+  /// then ignored.
   bool report(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status, bool direct);
 
-  /// Has this node reported `wanted` or later, in its present life, under no later epoch than `epoch`?
-  bool confirmed(std::string const& node, StateVersion const& wanted, std::uint64_t epoch) const;
-  /// Is it proved that whoever confirms in this node's name has started after `wanted` was published?
-  bool gone(std::string const& node, StateVersion const& wanted) const;
-  /// Gone for long enough to leave the roster.
+  /// True if the current incarnation of this node has reported `version` or a later one, of no later epoch than
+  /// `epoch`.
+  bool confirmed(std::string const& node, StateVersion const& version, std::uint64_t epoch) const;
+  /// True if the process that ran under this node's name when `version` was published is proved to have ended. A
+  /// process that confirms under this name afterwards has started after that publication.
+  bool provedGone(std::string const& node, StateVersion const& version) const;
+  /// True if the node has been proved gone for long enough to be removed from the roster.
   bool persistentlyGone(TimePoint now, std::string const& node) const;
+  /// True if the node reported within `nodeCurrentMs`.
   bool isAlive(TimePoint now, std::string const& node) const;
+  /// The time of the last report, or the beginning of the leadership if that is later.
   TimePoint lastReceivedAt(std::string const& node) const;
 
-  bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+  /// True if a majority of the roster has confirmed `version` or is proved gone. True for an empty roster.
+  bool majorityConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& version,
                          std::uint64_t epoch) const;
-  bool allConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& wanted,
+  /// True if every node of the roster has confirmed `version` or is proved gone.
+  bool allConfirmed(std::vector<messages::RosterEntry> const& roster, StateVersion const& version,
                     std::uint64_t epoch) const;
 
-  /// The probes of silent nodes that are due.
+  /// Starts and returns the probes that are due of nodes that do not report.
   std::vector<Probe> probesDue(TimePoint now, std::vector<messages::RosterEntry> const& roster);
-  void probed(ProbeFinished const& answer);
-  /// The operator's word that a node is gone; it holds until the node is heard again.
-  void markRemoved(std::string const& node) { proofs_[node].removedByOperator = true; }
-  /// Drops nodes that have not been heard for long.
+  /// Records the result of a probe.
+  void recordProbe(ProbeFinished const& answer);
+  /// Records an operator's statement that a node is gone. It holds until the node reports again, or the leadership
+  /// ends.
+  void markRemoved(std::string const& node) { exitRecords_[node].removedByOperator = true; }
+  /// Drops the records of nodes that have not reported, or not been probed, for twice `rosterForgetMs`.
   void expire(TimePoint now);
 
   std::map<std::string, TrackedNode> const& nodes() const { return nodes_; }
@@ -85,12 +102,12 @@
 
  private:
   ConfigServiceOptions options_;
-  TimePoint activeAt_{};
+  TimePoint leadershipBeganAt_{};
   std::map<std::string, TrackedNode> nodes_;
-  std::map<std::string, DeathProof> proofs_;
+  std::map<std::string, ExitRecord> exitRecords_;
   distribution::IncarnationRecords incarnations_;
-  std::map<StateVersion, TimePoint> publishings_;
-  std::uint64_t lastProbe_ = 0;
+  std::map<StateVersion, TimePoint> publishedAt_;
+  std::uint64_t lastProbeToken_ = 0;
 };
 
 }  // namespace limeramp::control
--- a/libs/control/src/order_evaluator.cpp
+++ b/libs/control/src/order_evaluator.cpp
@@ -18,17 +18,17 @@
 
 Rejection tooLong(std::size_t maximum) { return refusal("/", "longer than " + std::to_string(maximum) + " bytes"); }
 
-Rejection forgotten() {
+Rejection forgottenRejection() {
   return {OrderStatus::unknown, "the change is older than all that are remembered: it may have been taken", {}};
 }
 
-/// A change whose key says nothing but its content, on no base: after another change, nothing tells a late repetition
-/// from the wish to return to this configuration.
+/// True for a change without a base whose key is derived from its content, if other changes were taken since. Nothing
+/// then distinguishes a late repetition from an order to return to this configuration.
 bool isAmbiguous(Change const& change, ReceiptLookup const& receipt, messages::State const& state) {
   return change.keyedByContentOnly && receipt.revision == 0 && receipt.version != versionOf(state);
 }
 
-std::optional<Rejection> conflictOf(Change const& change, messages::State const& state) {
+std::optional<Rejection> baseConflict(Change const& change, messages::State const& state) {
   if (change.base && *change.base != versionOf(state)) {
     return Rejection{OrderStatus::conflict, "the version named is not the current one", {}};
   }
@@ -38,10 +38,11 @@
   return std::nullopt;
 }
 
-/// A revision is the base of one change only, so a change that names its base must leave it behind.
+/// Refuses a change that names a revision, as its own or as its base, and does not raise the current one. Otherwise one
+/// revision could be the base of two changes.
 std::optional<Rejection> staleRevision(Change const& change, std::uint64_t revision, messages::State const& state) {
-  bool const named = revision > 0 || change.baseRevision.has_value();
-  if (!named || revision > state.revision) {
+  bool const namesRevision = revision > 0 || change.baseRevision.has_value();
+  if (!namesRevision || revision > state.revision) {
     return std::nullopt;
   }
   return refusal("/revision", "is not above the current one, " + std::to_string(state.revision));
@@ -70,9 +71,9 @@
   return out;
 }
 
-Evaluation OrderEvaluator::evaluate(EvaluateOrder const& wanted) const {
-  Change const& change = wanted.order;
-  messages::State const& state = wanted.state;
+Evaluation OrderEvaluator::evaluate(EvaluateOrder const& request) const {
+  Change const& change = request.order;
+  messages::State const& state = request.state;
   ReceiptLookup const receipt = findReceipt(state, change);
   if (receipt.match == ReceiptMatch::otherContent) {
     return Rejection{OrderStatus::refused, "the change id was used for another change", {}};
@@ -86,14 +87,14 @@
   if (receipt.match == ReceiptMatch::same) {
     return AlreadyTaken{receipt.version};
   }
-  return evaluateNew(change, state, wanted.epoch);
+  return evaluateNew(change, state, request.epoch);
 }
 
 Evaluation OrderEvaluator::evaluateNew(Change const& change, messages::State const& state, std::uint64_t epoch) const {
-  if (std::optional<Rejection> const conflict = conflictOf(change, state)) {
-    return mayBeForgotten(state, change, 0, options_.maxReceipts) ? forgotten() : *conflict;
+  if (std::optional<Rejection> const conflict = baseConflict(change, state)) {
+    return mayBeForgotten(state, change, 0, options_.maxReceipts) ? forgottenRejection() : *conflict;
   }
-  std::variant<std::string, Rejection> document = documentOf(change, state);
+  std::variant<std::string, Rejection> document = resultingDocument(change, state);
   if (Rejection* const rejection = std::get_if<Rejection>(&document)) {
     return std::move(*rejection);
   }
@@ -103,7 +104,7 @@
   }
   std::uint64_t const revision = checked.configuration->revision;
   if (std::optional<Rejection> const stale = staleRevision(change, revision, state)) {
-    return mayBeForgotten(state, change, revision, options_.maxReceipts) ? forgotten() : *stale;
+    return mayBeForgotten(state, change, revision, options_.maxReceipts) ? forgottenRejection() : *stale;
   }
   NewState out{state};
   out.next.document = std::get<std::string>(std::move(document));
@@ -114,8 +115,8 @@
   return out;
 }
 
-std::variant<std::string, Rejection> OrderEvaluator::documentOf(Change const& change,
-                                                                messages::State const& state) const {
+std::variant<std::string, Rejection> OrderEvaluator::resultingDocument(Change const& change,
+                                                                       messages::State const& state) const {
   if (change.body.size() > options_.maxDocumentBytes) {
     return tooLong(options_.maxDocumentBytes);
   }
--- a/libs/control/src/order_processing.cpp
+++ b/libs/control/src/order_processing.cpp
@@ -1,4 +1,5 @@
-// Orders and reads, from their arrival to their answer: queued, evaluated, replicated, in force, confirmed.
+// The life cycle of orders and reads. An order is queued, evaluated, replicated, and acknowledged once it is in force.
+// Reads and refusals are answered once the leadership is confirmed.
 #include "config_service_impl.h"
 
 #include "limeramp/messages/state_digest.h"
@@ -15,42 +16,43 @@
 
 void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::Committed const& event) {
   publish(event.state);
-  if (event.ticket == inProgressTicket && inProgress) {
+  if (event.ticket == proposalTicket && proposedOrder) {
     config::Version const version{published.configurationEpoch, published.configurationSequence};
-    if (!inProgressAnswered) {
-      acknowledgements.add({inProgress->ticket, stateVersion(), version, now, inProgress->deadline, std::nullopt});
+    if (!proposedOrderAnswered) {
+      acknowledgements.add(
+          {proposedOrder->ticket, stateVersion(), version, now, proposedOrder->deadline, std::nullopt});
     }
     effects.emplace_back(
-        replication::LogEntry{logging::Event::configurationTaken, version.text() + " change " + inProgress->id});
+        replication::LogEntry{logging::Event::configurationTaken, version.text() + " change " + proposedOrder->id});
   }
-  if (event.ticket == inProgressTicket) {
-    inProgress.reset();
-    inProgressTicket = 0;
+  if (event.ticket == proposalTicket) {
+    proposedOrder.reset();
+    proposalTicket = 0;
   }
   completeAcknowledged();
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const&, replication::OutcomeUnknown const& event) {
-  if (event.ticket != inProgressTicket) {
+  if (event.ticket != proposalTicket) {
     return;
   }
-  if (inProgress && !inProgressAnswered) {
-    decide(inProgress->ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
+  if (proposedOrder && !proposedOrderAnswered) {
+    emitOutcome(proposedOrder->ticket, OrderStatus::unknown, "the primary changed while the change was carried out");
   }
-  if (inProgress) {
-    effects.emplace_back(replication::LogEntry{logging::Event::configurationUnknown, inProgress->id});
+  if (proposedOrder) {
+    effects.emplace_back(replication::LogEntry{logging::Event::configurationUnknown, proposedOrder->id});
   }
-  inProgress.reset();
-  inProgressTicket = 0;
+  proposedOrder.reset();
+  proposalTicket = 0;
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const& group, Change const& event) {
   if (std::optional<OrderObstacle> const obstacle = orderObstacle()) {
-    decide(event.ticket, OrderStatus::notRun, textOf(*obstacle));
+    emitOutcome(event.ticket, OrderStatus::notRun, textOf(*obstacle));
     return;
   }
   if (queue.size() >= options.maxChanges || waitingAnswers() >= options.maxWaitingAnswers) {
-    decide(event.ticket, OrderStatus::notRun, "too many changes wait");
+    emitOutcome(event.ticket, OrderStatus::notRun, "too many changes wait");
     return;
   }
   queue.push({event, now});
@@ -62,15 +64,15 @@
       queue.takeFirst([&](QueuedOrder const& each) { return each.order.ticket == event.ticket; });
   if (queued) {
     effects.emplace_back(replication::LogEntry{logging::Event::orderAbandoned, queued->order.id});
-    decide(event.ticket, OrderStatus::notRun, callerLeftReason);
+    emitOutcome(event.ticket, OrderStatus::notRun, callerLeftReason);
   }
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const&, Read const& event) {
   if (std::optional<OrderObstacle> const obstacle = readObstacle()) {
-    decide(event.ticket, OrderStatus::notRun, textOf(*obstacle));
+    emitOutcome(event.ticket, OrderStatus::notRun, textOf(*obstacle));
   } else if (reads.size() >= options.maxChanges) {
-    decide(event.ticket, OrderStatus::notRun, "too many reads wait");
+    emitOutcome(event.ticket, OrderStatus::notRun, "too many reads wait");
   } else {
     reads.add({event.ticket, now, event.deadline, std::nullopt});
   }
@@ -83,9 +85,9 @@
   PendingEvaluation const finished = *std::move(evaluation);
   evaluation.reset();
   if (finished.answered && !finished.cancelled) {
-    beginAnswered(finished.queued, event.evaluation);
+    handleAnsweredEvaluation(finished.queued, event.evaluation);
   } else if (!finished.cancelled) {
-    begin(finished.queued, event.evaluation);
+    handleEvaluation(finished.queued, event.evaluation);
   }
   startNext(group);
 }
@@ -93,7 +95,7 @@
 void ConfigService::Impl::rejectQueued(std::string const& reason) {
   cancelEvaluation(reason);
   for (QueuedOrder const& queued : queue.takeAll()) {
-    decide(queued.order.ticket, OrderStatus::notRun, reason);
+    emitOutcome(queued.order.ticket, OrderStatus::notRun, reason);
   }
 }
 
@@ -111,22 +113,22 @@
                                            published.document});
   }
   for (PendingAnswer& refusal : refusals.takeConfirmed(confirmedAt)) {
-    effects.emplace_back(*std::move(refusal.decision));
+    effects.emplace_back(*std::move(refusal.outcome));
   }
 }
 
-void ConfigService::Impl::expire() {
+void ConfigService::Impl::answerExpired() {
   for (AnswerGate* const gate : {&reads, &refusals}) {
     for (PendingAnswer const& pending : gate->takeExpired(now)) {
-      decide(pending.ticket, OrderStatus::notRun, "the backup has not confirmed that this node is the primary");
+      emitOutcome(pending.ticket, OrderStatus::notRun, "the backup has not confirmed that this node is the primary");
     }
   }
-  if (inProgress && !inProgressAnswered && now >= inProgress->deadline) {
-    inProgressAnswered = true;
-    decide(inProgress->ticket, OrderStatus::unknown, "the backup has not confirmed the change yet");
+  if (proposedOrder && !proposedOrderAnswered && now >= proposedOrder->deadline) {
+    proposedOrderAnswered = true;
+    emitOutcome(proposedOrder->ticket, OrderStatus::unknown, "the backup has not confirmed the change yet");
   }
   for (QueuedOrder const& queued : queue.takeExpired(now)) {
-    decide(queued.order.ticket, OrderStatus::notRun, deadlinePassedReason);
+    emitOutcome(queued.order.ticket, OrderStatus::notRun, deadlinePassedReason);
   }
   expireEvaluation();
 }
@@ -143,28 +145,30 @@
   completeRemovals();
   for (PendingAcknowledgement const& entry :
        acknowledgements.takeInForce([this](PendingAcknowledgement const& pending) { return inForce(pending); })) {
-    decide(entry.ticket, OrderStatus::taken, "", entry.version);
+    emitOutcome(entry.ticket, OrderStatus::taken, "", entry.version);
   }
   for (PendingAcknowledgement const& entry : acknowledgements.takeExpired(now)) {
-    decide(entry.ticket, OrderStatus::unknown, "the change is kept, but not known to be everywhere yet", entry.version);
+    emitOutcome(entry.ticket, OrderStatus::unknown, "the change is kept, but not known to be everywhere yet",
+                entry.version);
   }
 }
 
-// A majority of the roster has the order in force, of the roster before too while a change of it is on its way, and
-// every node that is not proved gone; for a node that says nothing no longer than the grace time is waited.
+// An order is in force once a majority of the roster has confirmed its state, and, while a change of the roster is not
+// yet known to a majority, also a majority of the prior roster. Nodes proved gone count as confirmed. For up to
+// `unresponsiveGraceMs` all other nodes must have confirmed the state too.
 bool ConfigService::Impl::inForce(PendingAcknowledgement const& entry) const {
-  bool const majorities = majorityConfirmed(published.roster, entry.stateVersion) &&
-                          (rosterStable || majorityConfirmed(published.priorRoster, entry.stateVersion));
-  bool const lapsed = now - entry.since >= options.unresponsiveGraceMs;
-  bool const leads = !entry.arrivedAt || confirmedSince(confirmedAt, *entry.arrivedAt);
-  return leads && majorities && (allConfirmed(entry.stateVersion) || lapsed);
+  bool const majoritiesConfirmed = majorityConfirmed(published.roster, entry.stateVersion) &&
+                                   (rosterStable || majorityConfirmed(published.priorRoster, entry.stateVersion));
+  bool const graceElapsed = now - entry.since >= options.unresponsiveGraceMs;
+  bool const leadershipConfirmed = !entry.arrivedAt || confirmedSince(confirmedAt, *entry.arrivedAt);
+  return leadershipConfirmed && majoritiesConfirmed && (allConfirmed(entry.stateVersion) || graceElapsed);
 }
 
 std::optional<std::string> ConfigService::Impl::reasonToDecline(QueuedOrder const& queued) const {
   if (now >= queued.order.deadline) {
     return deadlinePassedReason;
   }
-  return isUnconfirmed() ? std::optional(textOf(OrderObstacle::backupUnresponsive)) : std::nullopt;
+  return isLeadershipUnconfirmed() ? std::optional(textOf(OrderObstacle::backupUnresponsive)) : std::nullopt;
 }
 
 void ConfigService::Impl::cancelEvaluation(std::string const& reason) {
@@ -173,65 +177,65 @@
   }
   evaluation->cancelled = true;
   if (!evaluation->answered) {
-    decide(evaluation->queued.order.ticket, OrderStatus::notRun, reason);
+    emitOutcome(evaluation->queued.order.ticket, OrderStatus::notRun, reason);
   }
 }
 
 void ConfigService::Impl::expireEvaluation() {
-  bool const waits = evaluation && !evaluation->answered && !evaluation->cancelled;
-  if (waits && now >= evaluation->queued.order.deadline) {
+  bool const callerWaits = evaluation && !evaluation->answered && !evaluation->cancelled;
+  if (callerWaits && now >= evaluation->queued.order.deadline) {
     evaluation->answered = true;
-    decide(evaluation->queued.order.ticket, OrderStatus::unknown, "the change is still being checked");
+    emitOutcome(evaluation->queued.order.ticket, OrderStatus::unknown, "the change is still being checked");
   }
 }
 
 void ConfigService::Impl::evaluate(replication::ReplicationGroup const& group, QueuedOrder queued) {
   if (queued.order.zone) {
-    begin(queued, evaluator.evaluateZone(*queued.order.zone, published));
+    handleEvaluation(queued, evaluator.evaluateZone(*queued.order.zone, published));
     return;
   }
-  effects.emplace_back(EvaluateOrder{++lastEvaluation, queued.order, published, group.decided().epoch});
-  evaluation = PendingEvaluation{lastEvaluation, std::move(queued)};
+  effects.emplace_back(EvaluateOrder{++lastEvaluationToken, queued.order, published, group.decided().epoch});
+  evaluation = PendingEvaluation{lastEvaluationToken, std::move(queued)};
 }
 
-void ConfigService::Impl::begin(QueuedOrder const& queued, Evaluation evaluated) {
-  std::visit([&](auto& concrete) { begin(queued, std::move(concrete)); }, evaluated);
+void ConfigService::Impl::handleEvaluation(QueuedOrder const& queued, Evaluation evaluated) {
+  std::visit([&](auto& concrete) { handleEvaluation(queued, std::move(concrete)); }, evaluated);
 }
 
-// Nobody waits for an answer: what needs no new state has no further effect.
-void ConfigService::Impl::beginAnswered(QueuedOrder const& queued, Evaluation evaluated) {
+// The caller was answered already, so only a new state has a further effect; other results are dropped.
+void ConfigService::Impl::handleAnsweredEvaluation(QueuedOrder const& queued, Evaluation evaluated) {
   if (NewState* const proposal = std::get_if<NewState>(&evaluated)) {
-    begin(queued, std::move(*proposal));
-    inProgressAnswered = true;
+    handleEvaluation(queued, std::move(*proposal));
+    proposedOrderAnswered = true;
   }
 }
 
-void ConfigService::Impl::begin(QueuedOrder const& queued, NewState proposal) {
-  inProgress = queued.order;
-  inProgressAnswered = false;
-  inProgressTicket = ++lastOwnTicket;
-  effects.emplace_back(replication::Proposal{inProgressTicket, std::move(proposal.next)});
+void ConfigService::Impl::handleEvaluation(QueuedOrder const& queued, NewState proposal) {
+  proposedOrder = queued.order;
+  proposedOrderAnswered = false;
+  proposalTicket = ++lastProposalTicket;
+  effects.emplace_back(replication::Proposal{proposalTicket, std::move(proposal.next)});
 }
 
-void ConfigService::Impl::begin(QueuedOrder const& queued, AlreadyTaken const& taken) {
+void ConfigService::Impl::handleEvaluation(QueuedOrder const& queued, AlreadyTaken const& taken) {
   acknowledgements.add(
       {queued.order.ticket, stateVersion(), taken.version, publishedAt, queued.order.deadline, queued.arrivedAt});
   completeAcknowledged();
 }
 
-void ConfigService::Impl::begin(QueuedOrder const& queued, Rejection rejection) {
+void ConfigService::Impl::handleEvaluation(QueuedOrder const& queued, Rejection rejection) {
   std::uint64_t const ticket = queued.order.ticket;
   config::Version const current{published.configurationEpoch, published.configurationSequence};
-  OrderOutcome decision{ticket, rejection.verdict, current, std::move(rejection.problems), std::move(rejection.reason)};
-  if (decision.verdict == OrderStatus::unknown) {
-    effects.emplace_back(std::move(decision));
+  OrderOutcome outcome{ticket, rejection.verdict, current, std::move(rejection.problems), std::move(rejection.reason)};
+  if (outcome.verdict == OrderStatus::unknown) {
+    effects.emplace_back(std::move(outcome));
     return;
   }
-  deferRefusal(ticket, queued.arrivedAt, queued.order.deadline, std::move(decision));
+  deferRefusal(ticket, queued.arrivedAt, queued.order.deadline, std::move(outcome));
 }
 
 void ConfigService::Impl::startNext(replication::ReplicationGroup const& group) {
-  while (active && inProgressTicket == 0 && !evaluation) {
+  while (active && proposalTicket == 0 && !evaluation) {
     if (proposeRoster(group)) {
       return;
     }
@@ -240,7 +244,7 @@
       return;
     }
     if (std::optional<std::string> const reason = reasonToDecline(*queued)) {
-      decide(queued->order.ticket, OrderStatus::notRun, *reason);
+      emitOutcome(queued->order.ticket, OrderStatus::notRun, *reason);
     } else {
       evaluate(group, *std::move(queued));
     }
--- a/libs/control/src/order_queue.cpp
+++ b/libs/control/src/order_queue.cpp
@@ -8,8 +8,8 @@
 
 namespace limeramp::control {
 
-std::optional<QueuedOrder> OrderQueue::takeFirst(std::function<bool(QueuedOrder const&)> const& wanted) {
-  std::deque<QueuedOrder>::iterator const found = std::find_if(queue_.begin(), queue_.end(), wanted);
+std::optional<QueuedOrder> OrderQueue::takeFirst(std::function<bool(QueuedOrder const&)> const& predicate) {
+  std::deque<QueuedOrder>::iterator const found = std::find_if(queue_.begin(), queue_.end(), predicate);
   if (found == queue_.end()) {
     return std::nullopt;
   }
--- a/libs/control/src/order_queue.h
+++ b/libs/control/src/order_queue.h
@@ -11,24 +11,25 @@
 
 namespace limeramp::control {
 
+/// An order with the time of its arrival.
 struct QueuedOrder {
   Change order;
   TimePoint arrivedAt{};
 };
 
-/// Orders that have not been begun, in the order of their arrival. Nothing of a queued order has run: whoever takes one
-/// out without beginning it answers `notRun`. The bound is kept by the configuration service, which also counts what
-/// waits elsewhere.
+/// Orders that have not been started, in the order of their arrival. Nothing of a queued order has run, so the caller
+/// that removes one without starting it answers `notRun`. The configuration service enforces the limit, since it also
+/// counts the orders that wait elsewhere.
 class OrderQueue {
  public:
   std::size_t size() const { return queue_.size(); }
   void push(QueuedOrder order) { queue_.push_back(std::move(order)); }
 
-  /// Takes out the oldest order for which `wanted` is true. Nothing if there is none.
-  std::optional<QueuedOrder> takeFirst(std::function<bool(QueuedOrder const&)> const& wanted);
-  /// Takes out the orders whose deadline has passed.
+  /// Removes and returns the oldest order for which `predicate` is true; empty if there is none.
+  std::optional<QueuedOrder> takeFirst(std::function<bool(QueuedOrder const&)> const& predicate);
+  /// Removes and returns the orders whose deadline has passed.
   std::vector<QueuedOrder> takeExpired(TimePoint now);
-  /// Takes out all: they will not be begun here.
+  /// Removes and returns all orders; this node will not start them.
   std::vector<QueuedOrder> takeAll();
 
   void digest(messages::StateDigest& digest) const;
@@ -37,7 +38,7 @@
   std::deque<QueuedOrder> queue_;
 };
 
-/// Adds the fields of an order that decide what becomes of it.
+/// Adds the fields of an order to a digest, for the model checker.
 void digestOrder(messages::StateDigest& digest, Change const& order);
 
 }  // namespace limeramp::control
--- a/libs/control/src/roster_changes.cpp
+++ b/libs/control/src/roster_changes.cpp
@@ -1,4 +1,5 @@
-// The roster: who joins and leaves, by reports, by proof of an end, and by an operator's word.
+// Changes of the roster. Nodes join by their reports; they leave by draining, by prolonged lack of reports, by proof
+// that their process ended, or by an operator's order.
 #include "config_service_impl.h"
 
 #include "roster_planner.h"
@@ -12,28 +13,28 @@
   if (!active) {
     return;
   }
-  std::vector<messages::RosterEntry> wanted = published.roster;
+  std::vector<messages::RosterEntry> rosterEntries = published.roster;
   if (!rosterStable) {
-    wanted.insert(wanted.end(), published.priorRoster.begin(), published.priorRoster.end());
+    rosterEntries.insert(rosterEntries.end(), published.priorRoster.begin(), published.priorRoster.end());
   }
-  for (Probe& due : tracker.probesDue(now, wanted)) {
+  for (Probe& due : tracker.probesDue(now, rosterEntries)) {
     effects.emplace_back(std::move(due));
   }
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const& group, ProbeFinished const& event) {
-  tracker.probed(event);
+  tracker.recordProbe(event);
   completeAcknowledged();
   startNext(group);
 }
 
 void ConfigService::Impl::on(replication::ReplicationGroup const& group, RemoveNodes const& event) {
   if (std::optional<OrderObstacle> const obstacle = orderObstacle()) {
-    decide(event.ticket, OrderStatus::notRun, textOf(*obstacle));
+    emitOutcome(event.ticket, OrderStatus::notRun, textOf(*obstacle));
     return;
   }
   if (removals.size() >= options.maxChanges || waitingAnswers() >= options.maxWaitingAnswers) {
-    decide(event.ticket, OrderStatus::notRun, "too many changes wait");
+    emitOutcome(event.ticket, OrderStatus::notRun, "too many changes wait");
     return;
   }
   std::vector<config::Problem> problems = removalProblems(now, event.nodes, published, tracker);
@@ -45,32 +46,32 @@
     tracker.markRemoved(node);
   }
   removals.add({event.ticket, {event.nodes.begin(), event.nodes.end()}, now, event.deadline});
-  nextRosterAt = now;
+  nextRosterChangeAt = now;
   completeAcknowledged();
   startNext(group);
 }
 
 void ConfigService::Impl::completeRemovals() {
   config::Version const version{published.configurationEpoch, published.configurationSequence};
-  NodeRemovals::Completed const completed = [&](NodeRemoval const& entry) {
+  NodeRemovals::CompletedPredicate const completed = [&](NodeRemoval const& entry) {
     bool const listed = std::any_of(entry.nodes.begin(), entry.nodes.end(), [&](std::string const& node) {
       return messages::isListed(published.roster, node);
     });
     return rosterStable && !listed && confirmedSince(confirmedAt, entry.arrivedAt);
   };
   for (NodeRemoval const& entry : removals.takeCompleted(completed)) {
-    decide(entry.ticket, OrderStatus::taken, "", version);
+    emitOutcome(entry.ticket, OrderStatus::taken, "", version);
   }
   for (NodeRemoval const& entry : removals.takeExpired(now)) {
-    decide(entry.ticket, OrderStatus::unknown, "the roster without these nodes is not known to a majority yet");
+    emitOutcome(entry.ticket, OrderStatus::unknown, "the roster without these nodes is not known to a majority yet");
   }
 }
 
 bool ConfigService::Impl::proposeRoster(replication::ReplicationGroup const& group) {
-  if (now < nextRosterAt || !rosterStable || shuttingDown) {
+  if (now < nextRosterChangeAt || !rosterStable || shuttingDown) {
     return false;
   }
-  nextRosterAt =
+  nextRosterChangeAt =
       now + options.rosterBatchMs * static_cast<long>(1 + published.roster.size() / options.rosterBatchNodes);
   RosterPlan plan = planRoster(now, options, published.roster, tracker);
   if (plan.changes.empty()) {
@@ -82,9 +83,9 @@
   next.rosterEpoch = group.decided().epoch;
   next.rosterSequence = published.sequence + 1;
   rosterStable = false;
-  inProgressTicket = ++lastOwnTicket;
+  proposalTicket = ++lastProposalTicket;
   effects.emplace_back(replication::LogEntry{logging::Event::rosterChanged, plan.changes});
-  effects.emplace_back(replication::Proposal{inProgressTicket, std::move(next)});
+  effects.emplace_back(replication::Proposal{proposalTicket, std::move(next)});
   return true;
 }
 
--- a/libs/control/src/roster_planner.cpp
+++ b/libs/control/src/roster_planner.cpp
@@ -6,18 +6,20 @@
 namespace limeramp::control {
 namespace {
 
-bool hasLeft(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker, std::string const& node) {
+bool hasDeparted(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker,
+                 std::string const& node) {
   TrackedNode const* const found = tracker.find(node);
-  bool const saidSo = found != nullptr && found->draining;
-  return saidSo || now - tracker.lastReceivedAt(node) > options.rosterForgetMs || tracker.persistentlyGone(now, node);
+  bool const isDraining = found != nullptr && found->draining;
+  return isDraining || now - tracker.lastReceivedAt(node) > options.rosterForgetMs ||
+         tracker.persistentlyGone(now, node);
 }
 
-void removeThoseThatLeft(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker,
+void removeDepartedNodes(TimePoint now, ConfigServiceOptions const& options, NodeTracker const& tracker,
                          RosterPlan& plan) {
   std::erase_if(plan.roster, [&](messages::RosterEntry const& entry) {
-    bool const left = hasLeft(now, options, tracker, entry.node);
-    plan.changes += left ? " -" + entry.node : "";
-    return left;
+    bool const departed = hasDeparted(now, options, tracker, entry.node);
+    plan.changes += departed ? " -" + entry.node : "";
+    return departed;
   });
 }
 
@@ -29,9 +31,9 @@
   return slot;
 }
 
-/// Lists a node that reports, while the roster has room, or corrects its address and zone.
-void addOrMove(messages::Follower const& follower, std::size_t maxNodes, std::set<std::uint64_t>& takenSlots,
-               RosterPlan& plan) {
+/// Adds a node to the roster if the roster is not full, or updates its address and zone.
+void addOrUpdate(messages::Follower const& follower, std::size_t maxNodes, std::set<std::uint64_t>& takenSlots,
+                 RosterPlan& plan) {
   std::vector<messages::RosterEntry>::iterator const found =
       std::find_if(plan.roster.begin(), plan.roster.end(),
                    [&](messages::RosterEntry const& listed) { return listed.node == follower.node; });
@@ -55,7 +57,7 @@
 RosterPlan planRoster(TimePoint now, ConfigServiceOptions const& options,
                       std::vector<messages::RosterEntry> const& current, NodeTracker const& tracker) {
   RosterPlan plan{current, ""};
-  removeThoseThatLeft(now, options, tracker, plan);
+  removeDepartedNodes(now, options, tracker, plan);
   std::set<std::uint64_t> takenSlots;
   for (messages::RosterEntry const& entry : plan.roster) {
     takenSlots.insert(entry.slot);
@@ -63,7 +65,7 @@
   for (std::pair<std::string const, TrackedNode> const& entry : tracker.nodes()) {
     bool const present = tracker.isAlive(now, entry.first) && !entry.second.draining;
     if (present && !tracker.persistentlyGone(now, entry.first)) {
-      addOrMove(entry.second.follower, options.maxNodes, takenSlots, plan);
+      addOrUpdate(entry.second.follower, options.maxNodes, takenSlots, plan);
     }
   }
   return plan;
--- a/libs/control/src/roster_planner.h
+++ b/libs/control/src/roster_planner.h
@@ -6,17 +6,20 @@
 #include <string>
 #include <vector>
 
-/// Which nodes the roster should name: those that report, without those that left, were proved gone or have been silent
-/// for long. A pure function of the roster and of what the tracker knows; when a change of the roster may be replicated
-/// is for the caller to decide.
+/// Computes which nodes belong on the roster: those that report, without those that drain, are proved gone or have not
+/// reported for `rosterForgetMs`. A pure function of the roster and the tracker. The caller decides when a change of
+/// the roster may be replicated.
 namespace limeramp::control {
 
+/// The roster that should be in force.
 struct RosterPlan {
   std::vector<messages::RosterEntry> roster;
-  /// The differences from the roster before, for the log: "-" left, "+" joined, "~" moved. Empty if there are none.
+  /// The differences from the current roster, for the log: "-" removed, "+" added, "~" changed its address or zone.
+  /// Empty if there are none.
   std::string changes;
 };
 
+/// Plans the roster that should replace `current`.
 RosterPlan planRoster(TimePoint now, ConfigServiceOptions const& options,
                       std::vector<messages::RosterEntry> const& current, NodeTracker const& tracker);
 
--- a/libs/control/src/state_bounds.cpp
+++ b/libs/control/src/state_bounds.cpp
@@ -3,18 +3,19 @@
 namespace limeramp::control {
 namespace {
 
-/// Of an encoded number, or of the length before a text or an array.
+/// The longest encoding of a number, or of the length before a text or an array.
 constexpr std::size_t maxNumberBytes = 10;
 constexpr std::size_t rosterTexts = 3;
 constexpr std::size_t maxRosterEntryBytes = rosterTexts * (maxRosterTextBytes + maxNumberBytes) + maxNumberBytes;
-/// The roster in force and the one before it.
+/// A state holds the current roster and the prior one.
 constexpr std::size_t rosters = 2;
-/// Two digests and four numbers; receipts of early versions hold the change's id of up to 128 bytes.
+/// A receipt holds two digests and three numbers; receipts of versions before 0.2 hold the change's id of up to 128
+/// bytes.
 constexpr std::size_t maxReceiptBytes = 256;
 constexpr std::size_t maxZoneNameBytes = 64;
-/// The numbers of a state, and the lengths of its fields.
+/// The numbers of a state and the lengths of its fields.
 constexpr std::size_t fixedStateBytes = 256;
-/// Identity, vote, known members and the schemas of the records.
+/// The records of the controller's identity, its vote and its known members, and the schemas of all records.
 constexpr std::size_t otherRecordsBytes = 128 << 10;
 
 }  // namespace
--- a/libs/control/src/state_publishing.cpp
+++ b/libs/control/src/state_publishing.cpp
@@ -1,4 +1,4 @@
-// Hands the published state to the nodes that ask for it or follow, and records what they report.
+// Sends the published state to the nodes that follow this primary or poll it, and records what they report.
 #include "config_service_impl.h"
 
 #include <functional>
@@ -20,7 +20,7 @@
   messages::StateResponse out;
   out.token = poll.token;
   out.node = id;
-  out.primaryAddress = group.decided().primary != group.id() || mayLead() ? group.primaryAddress() : "";
+  out.primaryAddress = group.decided().primary != group.id() || isConfirmedPrimary() ? group.primaryAddress() : "";
   out.incarnationsDigest = tracker.incarnations().digest();
   if (poll.incarnationsDigest != out.incarnationsDigest) {
     out.incarnations = tracker.incarnations().list();
@@ -41,14 +41,14 @@
   bool const sameRoster = StateVersion{state.rosterEpoch, state.rosterSequence} ==
                           StateVersion{published.rosterEpoch, published.rosterSequence};
   rosterStable = rosterStable && sameRoster;
-  bool const onlyRoster = !sameRoster && state.evacuatedZones == published.evacuatedZones &&
-                          StateVersion{state.configurationEpoch, state.configurationSequence} ==
-                              StateVersion{published.configurationEpoch, published.configurationSequence};
+  bool const onlyRosterChanged = !sameRoster && state.evacuatedZones == published.evacuatedZones &&
+                                 StateVersion{state.configurationEpoch, state.configurationSequence} ==
+                                     StateVersion{published.configurationEpoch, published.configurationSequence};
   feed.replaced(now, published);
   published = state;
   publishedAt = now;
-  tracker.published(now, stateVersion());
-  if (onlyRoster) {
+  tracker.recordPublished(now, stateVersion());
+  if (onlyRosterChanged) {
     return;
   }
   messages::StateResponse out;
@@ -65,16 +65,16 @@
   for (messages::PeerStatus const& peerStatus : event.poll.peerStatuses) {
     peerStatuses.emplace(peerStatus.node, &peerStatus);
   }
-  messages::PeerStatus const none;
+  messages::PeerStatus const unknownStatus;
   std::function<messages::PeerStatus const&(std::string const&)> const statusOf =
       [&](std::string const& node) -> messages::PeerStatus const& {
-    return peerStatuses.contains(node) ? *peerStatuses.at(node) : none;
+    return peerStatuses.contains(node) ? *peerStatuses.at(node) : unknownStatus;
   };
-  bool const confirms = tracker.learnIncarnations(event.poll);
-  recordReport(confirms ? event.poll.self : distribution::withoutVersion(event.poll.self),
+  bool const versionsTrusted = tracker.learnIncarnations(event.poll);
+  recordReport(versionsTrusted ? event.poll.self : distribution::withoutVersion(event.poll.self),
                statusOf(event.poll.self.node), true);
   for (messages::Follower const& follower : event.poll.followers) {
-    recordReport(confirms ? follower : distribution::withoutVersion(follower), statusOf(follower.node), false);
+    recordReport(versionsTrusted ? follower : distribution::withoutVersion(follower), statusOf(follower.node), false);
   }
   messages::StateResponse out = response(event.poll, group);
   messages::Message answer = feed.answer(now, active ? &published : nullptr, event.poll, std::move(out));
--- a/tests/order_evaluation_test.cpp
+++ b/tests/order_evaluation_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of an order while it is being evaluated: evaluations may last longer than deadlines and leaderships.
+// Orders whose evaluation lasts longer than their deadline, a take-over, a shutdown or a leadership.
 #include "simulator/operator_simulation.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 constexpr std::size_t zones = 3;
 constexpr std::uint64_t seeds = 10;
 constexpr Ms callMs{900};
-/// Longer than all that follows an order in these tests.
+/// Longer than the rest of any of these tests.
 constexpr Ms longEvaluation{60'000};
 
 control::Change orderOn(std::uint64_t base, std::uint64_t revision, std::string const& service) {
@@ -21,7 +21,7 @@
   return {0, "on" + std::to_string(base) + body, {}, false, body, {}, base, {}};
 }
 
-/// A fleet in calm with revision 4 in force.
+/// A fleet without faults, with revision 4 in force.
 class OrderEvaluation : public testing::TestWithParam<std::uint64_t> {
  protected:
   void SetUp() override {
@@ -52,8 +52,8 @@
   std::size_t primary = 0;
 };
 
-// Guards against a primary that is deposed by each change that takes long to read.
-TEST_P(OrderEvaluation, LongerThanATakeoverLeavesTheLeadershipAndTheReadsAsTheyAre) {
+// Guards against a long evaluation that delays the primary's heartbeats until a backup takes over.
+TEST_P(OrderEvaluation, LongerThanATakeoverKeepsTheLeadershipAndServesReads) {
   std::uint64_t const epoch = published().epoch;
   fleet.evaluationTime = Ms(4000);
   std::uint64_t const ticket = submit(orderOn(4, 6, "second"), Ms(8000));
@@ -69,8 +69,9 @@
   EXPECT_EQ(published().epoch, epoch);
 }
 
-// Guards against work that is thrown away at the deadline and begun anew by each repetition, without an end.
-TEST_P(OrderEvaluation, LongerThanTheDeadlineIsAnsweredInTimeAndARepetitionFindsItsChangeTaken) {
+// Guards against an evaluation that is discarded at the deadline: each repetition would start it anew, and the change
+// would never be taken.
+TEST_P(OrderEvaluation, LongerThanTheDeadlineIsAnsweredInTimeAndTheChangeIsTaken) {
   constexpr Ms evaluationTime{2000};
   fleet.evaluationTime = evaluationTime;
   control::Change const order = orderOn(4, 6, "second");
@@ -79,7 +80,7 @@
   EXPECT_EQ(answerTo(ticket), control::OrderStatus::unknown);
   std::uint64_t const repetition = submit(order, Ms(8000));
   fleet.run(evaluationTime);
-  EXPECT_EQ(published().revision, 6U) << "by the first one: the repetition is still being evaluated";
+  EXPECT_EQ(published().revision, 6U) << "taken by the first order: the repetition is still being evaluated";
   fleet.run(2 * evaluationTime);
   EXPECT_EQ(answerTo(repetition), control::OrderStatus::taken);
   EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
@@ -96,7 +97,7 @@
   EXPECT_EQ(operators.insist(orderOn(4, 7, "third"), Ms(5000)), Reply::taken);
 }
 
-TEST_P(OrderEvaluation, OrdersBehindItWaitAndAreTakenInTheirOrder) {
+TEST_P(OrderEvaluation, QueuedOrdersWaitForItAndAreTakenInOrder) {
   fleet.evaluationTime = Ms(300);
   std::uint64_t const second = submit(orderOn(4, 6, "second"), Ms(5000));
   std::uint64_t const third = submit(orderOn(6, 8, "third"), Ms(5000));
@@ -108,7 +109,7 @@
   EXPECT_EQ(published().revision, 8U);
 }
 
-TEST_P(OrderEvaluation, ThatOutlivesAShutdownOfItsPrimaryBeginsNothing) {
+TEST_P(OrderEvaluation, IsCancelledByAShutdownOfItsPrimary) {
   fleet.evaluationTime = longEvaluation;
   std::uint64_t const ticket = submit(orderOn(4, 6, "second"), callMs);
   fleet.run(Ms(10));
@@ -116,8 +117,9 @@
   EXPECT_EQ(answerTo(ticket), control::OrderStatus::notRun);
 }
 
-// Its primary loses the leadership, another takes a change, and the first one leads again before it has the result.
-TEST_P(OrderEvaluation, OfAnEarlierLeadershipBeginsNothingUnderALaterOne) {
+// The evaluating primary loses the leadership, another primary takes a change, and the first one leads again before its
+// evaluation has ended. The result must not overwrite the later change.
+TEST_P(OrderEvaluation, ResultOfAnEarlierLeadershipIsDropped) {
   constexpr Ms evaluationTime{30'000};
   fleet.evaluationTime = evaluationTime;
   TimePoint const begun = fleet.network.now();
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -19,13 +19,13 @@
 
 constexpr std::size_t controllers = 3;
 constexpr Ms callMs{900};
-constexpr Ms cutMs{20'000};
+constexpr Ms partitionMs{20'000};
 
 std::string documentOf(std::uint64_t revision, std::string const& service) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"services":{")" + service + R"(":{}}})";
 }
 
-/// A whole configuration with the revision `number`, on top of the revision `base`.
+/// A change to a whole configuration with revision `number`, based on revision `base`.
 control::Change orderOn(std::uint64_t base, std::uint64_t number, std::string const& service) {
   std::string const body = documentOf(number, service);
   return {0, "on" + std::to_string(base) + body, {}, false, body, {}, base, {}};
@@ -37,11 +37,12 @@
 
 constexpr std::size_t gateways = 3;
 
-/// Starts the fleet, has `first` taken, and kills the primary. Its successor is cut off from all others in the moment
-/// it begins to lead, before any heartbeat of its own was answered; operators still reach it. The killed machine
-/// returns, so that the other side can lead the next epoch. Nothing if no successor came.
-std::optional<std::size_t> cutOffTheSuccessorAtOnce(FleetSimulation& fleet, OperatorSimulation& operators,
-                                                    control::Change const& first) {
+/// Starts the fleet, makes the change `first`, and kills the primary. Its successor is partitioned from all other
+/// machines as soon as it becomes primary, before any of its heartbeats is answered; operators still reach it. The
+/// killed machine is restarted, so that the other side can elect a primary for the next epoch. Returns the successor;
+/// empty if there was none.
+std::optional<std::size_t> isolateSuccessorBeforeConfirmation(FleetSimulation& fleet, OperatorSimulation& operators,
+                                                              control::Change const& first) {
   fleet.startAll();
   if (operators.insist(first, Ms(15'000)) != Reply::taken) {
     return std::nullopt;
@@ -60,8 +61,8 @@
   return successor;
 }
 
-Reply insistElsewhere(FleetSimulation& fleet, OperatorSimulation& operators, std::size_t avoided,
-                      control::Change const& order) {
+Reply retryAtOtherControllers(FleetSimulation& fleet, OperatorSimulation& operators, std::size_t avoided,
+                              control::Change const& order) {
   Reply reply = Reply::silence;
   for (std::size_t round = 0; round < 40 && reply != Reply::taken; ++round) {
     std::size_t const machine = (avoided + 1 + round % (controllers - 1)) % controllers;
@@ -71,18 +72,18 @@
   return reply;
 }
 
-TEST(CutOffPrimary, ThatWasNeverConfirmedGivesNoDefiniteAnswerFromItsOwnOldState) {
+TEST(IsolatedPrimary, NeverConfirmedGivesNoDefiniteAnswer) {
   std::size_t neverConfirmed = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
-    std::optional<std::size_t> const old = cutOffTheSuccessorAtOnce(fleet, operators, orderOn(0, 4, "first"));
+    std::optional<std::size_t> const old = isolateSuccessorBeforeConfirmation(fleet, operators, orderOn(0, 4, "first"));
     ASSERT_TRUE(old) << seed;
-    ASSERT_EQ(insistElsewhere(fleet, operators, *old, orderOn(4, 6, "second")), Reply::taken) << seed;
-    ASSERT_EQ(insistElsewhere(fleet, operators, *old, zoneOrder("z1", true)), Reply::taken) << seed;
+    ASSERT_EQ(retryAtOtherControllers(fleet, operators, *old, orderOn(4, 6, "second")), Reply::taken) << seed;
+    ASSERT_EQ(retryAtOtherControllers(fleet, operators, *old, zoneOrder("z1", true)), Reply::taken) << seed;
     Machine const& machine = fleet.machines[*old];
     neverConfirmed += machine.isActive() && !machine.controller->group->leadershipConfirmedAt() ? 1 : 0;
-    TimePoint const end = fleet.network.now() + cutMs;
+    TimePoint const end = fleet.network.now() + partitionMs;
     while (fleet.network.now() < end) {
       fleet.run(Ms(300));
       for (control::Change const& order : {orderOn(6, 9, "third"), zoneOrder("z1", false), orderOn(0, 4, "first")}) {
@@ -99,9 +100,9 @@
   EXPECT_GT(neverConfirmed, 5U);
 }
 
-/// Cut off from the other controllers only, with its nodes and its operators still there and before any time-out has
-/// run.
-TEST(CutOffPrimary, DecidesNothingFromTheMomentOfTheCut) {
+/// The primary is partitioned from the other controllers only; its nodes and operators still reach it, and no time-out
+/// has expired yet.
+TEST(IsolatedPrimary, GivesNoDefiniteAnswerOnceIsolated) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
@@ -145,37 +146,37 @@
   return out;
 }
 
-/// An operator who makes one change after the other, each on the newest revision, and repeats it at any machine until a
-/// definite answer comes. Now and then the answer is lost, or an older change is sent once more.
+/// An operator that makes one change after the other, each based on the newest revision, and repeats it at random
+/// machines until it gets a definite answer. Some answers are lost, and some older changes are sent again.
 class BusyOperator {
  public:
   BusyOperator(FleetSimulation& fleet, OperatorSimulation& operators, std::string name)
       : fleet_(fleet), operators_(operators), name_(std::move(name)) {}
 
   void step() {
-    if (!made_.empty() && fleet_.network.chance(0.05)) {
-      call(made_[fleet_.network.roll(made_.size())]);
+    if (!orders_.empty() && fleet_.network.chance(0.05)) {
+      call(orders_[fleet_.network.roll(orders_.size())]);
     }
-    if (call_ && !operators_.calls[*call_].reply) {
+    if (pendingCall_ && !operators_.calls[*pendingCall_].reply) {
       return;
     }
-    if (call_) {
-      Reply const reply = *operators_.calls[*call_].reply;
-      call_.reset();
+    if (pendingCall_) {
+      Reply const reply = *operators_.calls[*pendingCall_].reply;
+      pendingCall_.reset();
       if (reply == Reply::taken) {
         ++taken;
         takenAt = fleet_.network.now();
       }
       if (reply == Reply::taken || reply == Reply::conflict || reply == Reply::refused) {
-        order_.reset();
+        currentOrder_.reset();
       }
     }
-    if (!order_) {
+    if (!currentOrder_) {
       std::uint64_t const base = newestRevision(fleet_);
-      order_ = orderOn(base, base + 2, name_ + std::to_string(++number_));
-      made_.push_back(*order_);
+      currentOrder_ = orderOn(base, base + 2, name_ + std::to_string(++number_));
+      orders_.push_back(*currentOrder_);
     }
-    call_ = call(*order_);
+    pendingCall_ = call(*currentOrder_);
   }
 
   std::size_t taken = 0;
@@ -189,15 +190,15 @@
   FleetSimulation& fleet_;
   OperatorSimulation& operators_;
   std::string name_;
-  std::vector<control::Change> made_;
-  std::optional<control::Change> order_;
-  std::optional<std::size_t> call_;
+  std::vector<control::Change> orders_;
+  std::optional<control::Change> currentOrder_;
+  std::optional<std::size_t> pendingCall_;
   std::size_t number_ = 0;
 };
 
 enum class Direction { both, outgoing, incoming };
 
-void cutOff(FleetSimulation& fleet, std::size_t member, Direction direction, bool fromControllersOnly) {
+void isolate(FleetSimulation& fleet, std::size_t member, Direction direction, bool fromControllersOnly) {
   std::size_t const others = fromControllersOnly ? controllers : fleet.machines.size();
   for (std::size_t other = 0; other < others; ++other) {
     if (other != member && direction != Direction::incoming) {
@@ -222,15 +223,16 @@
   return controllers;
 }
 
-struct CutTrial {
+struct PartitionResult {
   std::size_t takenDuring = 0;
   std::size_t takenAfter = 0;
   std::string history;
 };
 
-/// Two operators race on the same numbers through a cut of 20 s and the joining after it.
-CutTrial runCut(std::uint64_t seed, std::string const& role, Direction direction, bool fromControllersOnly) {
-  CutTrial out;
+/// Two operators make competing changes on the same revisions during a partition of 20 s and after it has healed.
+PartitionResult runPartition(std::uint64_t seed, std::string const& role, Direction direction,
+                             bool fromControllersOnly) {
+  PartitionResult out;
   std::string const trial = role + " direction " + std::to_string(static_cast<int>(direction)) +
                             (fromControllersOnly ? " from controllers" : " from all") + " seed " + std::to_string(seed);
   FleetSimulation fleet(seed, controllers, gateways, 3);
@@ -248,9 +250,9 @@
     }
   };
   runFor(Ms(500));
-  cutOff(fleet, memberOf(fleet, role), direction, fromControllersOnly);
+  isolate(fleet, memberOf(fleet, role), direction, fromControllersOnly);
   std::size_t const before = busy[0].taken + busy[1].taken;
-  runFor(cutMs);
+  runFor(partitionMs);
   out.takenDuring = busy[0].taken + busy[1].taken - before;
   fleet.mendAll();
   runFor(Ms(6000));
@@ -265,15 +267,15 @@
   return out;
 }
 
-class Cut : public testing::TestWithParam<std::string> {};
+class ControllerPartition : public testing::TestWithParam<std::string> {};
 
-TEST_P(Cut, OfTwentySecondsBreaksNoAnswerWhileTwoOperatorsRaceAndWhenItIsJoinedAgain) {
+TEST_P(ControllerPartition, CompetingOperatorsGetConsistentAnswersDuringAndAfterIt) {
   for (bool const fromControllersOnly : {false, true}) {
     for (Direction const direction : {Direction::both, Direction::outgoing, Direction::incoming}) {
       std::size_t during = 0;
       std::size_t fewest = std::numeric_limits<std::size_t>::max();
       for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        CutTrial const trial = runCut(seed, GetParam(), direction, fromControllersOnly);
+        PartitionResult const trial = runPartition(seed, GetParam(), direction, fromControllersOnly);
         during += trial.takenDuring;
         fewest = std::min(fewest, trial.takenDuring);
       }
@@ -285,60 +287,61 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Of, Cut, testing::Values("primary", "backup", "witness"),
+INSTANTIATE_TEST_SUITE_P(Simulated, ControllerPartition, testing::Values("primary", "backup", "witness"),
                          [](testing::TestParamInfo<std::string> const& role) { return role.param; });
 
-TEST(Trials, OfOneSeedHaveOneHistory) {
-  EXPECT_EQ(runCut(3, "primary", Direction::both, false).history, runCut(3, "primary", Direction::both, false).history);
+TEST(PartitionTrial, SameSeedGivesSameHistory) {
+  EXPECT_EQ(runPartition(3, "primary", Direction::both, false).history,
+            runPartition(3, "primary", Direction::both, false).history);
 }
 
-/// One step of a trial of two operators: which of them sends, and whether to the primary.
-struct Sending {
+/// One message of a trial with two operators: which of them sends it, and whether to the primary.
+struct SentMessage {
   bool second = false;
   bool toPrimary = false;
 };
 
-enum class Trouble { none, killPrimary, cutPrimary, shutDownPrimary };
+enum class Fault { none, killPrimary, cutPrimary, shutDownPrimary };
 
-void makeTrouble(FleetSimulation& fleet, std::size_t primary, Trouble trouble) {
-  switch (trouble) {
-    case Trouble::none:
+void injectFault(FleetSimulation& fleet, std::size_t primary, Fault fault) {
+  switch (fault) {
+    case Fault::none:
       return;
-    case Trouble::killPrimary:
+    case Fault::killPrimary:
       fleet.kill(primary);
       return;
-    case Trouble::cutPrimary:
+    case Fault::cutPrimary:
       fleet.split({primary});
       return;
-    case Trouble::shutDownPrimary:
+    case Fault::shutDownPrimary:
       fleet.beginShutdown(primary);
       return;
   }
 }
 
-/// Both operators send the same number on the same base, their first answers are lost, and both send again. `place` of
-/// the sendings have been made when the trouble comes.
-void runTwoOperators(std::vector<Sending> const& sendings, Trouble trouble, std::size_t place) {
-  std::string trial = "trouble " + std::to_string(static_cast<int>(trouble)) + " after " + std::to_string(place);
-  for (Sending const& sending : sendings) {
-    trial += std::string(sending.second ? " b" : " a") + (sending.toPrimary ? "p" : "o");
+/// Both operators send a change to the same revision on the same base, their first answers are lost, and both send it
+/// again. The fault is injected after `faultAfter` of the messages.
+void runTwoOperators(std::vector<SentMessage> const& sentMessages, Fault fault, std::size_t faultAfter) {
+  std::string trial = "fault " + std::to_string(static_cast<int>(fault)) + " after " + std::to_string(faultAfter);
+  for (SentMessage const& sentMessage : sentMessages) {
+    trial += std::string(sentMessage.second ? " b" : " a") + (sentMessage.toPrimary ? "p" : "o");
   }
-  FleetSimulation fleet(17 + place, controllers, 2, 3);
+  FleetSimulation fleet(17 + faultAfter, controllers, 2, 3);
   OperatorSimulation operators(fleet);
   fleet.startAll();
   ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << trial;
   fleet.run(Ms(1500));
   std::size_t const primary = *fleet.primary();
-  std::size_t const other = controllers + place % 2;
+  std::size_t const other = controllers + faultAfter % 2;
   std::array<control::Change, 2> const orders{orderOn(4, 7, "a"), orderOn(4, 7, "b")};
   std::array<std::size_t, 2> sent{0, 0};
-  for (std::size_t index = 0; index <= sendings.size(); ++index) {
-    if (index == place) {
-      makeTrouble(fleet, primary, trouble);
+  for (std::size_t index = 0; index <= sentMessages.size(); ++index) {
+    if (index == faultAfter) {
+      injectFault(fleet, primary, fault);
     }
-    if (index < sendings.size()) {
-      std::size_t const by = sendings[index].second ? 1 : 0;
-      operators.call({sendings[index].toPrimary ? primary : other, orders[by], sent[by]++ == 0}, callMs);
+    if (index < sentMessages.size()) {
+      std::size_t const by = sentMessages[index].second ? 1 : 0;
+      operators.call({sentMessages[index].toPrimary ? primary : other, orders[by], sent[by]++ == 0}, callMs);
       fleet.run(Ms(3));
     }
   }
@@ -355,20 +358,20 @@
   EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << trial;
 }
 
-TEST(TwoOperators, OnOneNumberWithLostAnswersHaveOneWinnerInAllOrdersOfTheirMessages) {
+TEST(TwoOperators, CompetingChangesHaveOneWinnerInEveryMessageOrder) {
   std::vector<bool> senders{false, false, true, true};
   std::size_t trials = 0;
   do {
     for (unsigned targets = 0; targets < 16; ++targets) {
-      std::vector<Sending> sendings;
+      std::vector<SentMessage> sentMessages;
       for (std::size_t index = 0; index < senders.size(); ++index) {
-        sendings.push_back({senders[index], (targets >> index & 1U) != 0});
+        sentMessages.push_back({senders[index], (targets >> index & 1U) != 0});
       }
-      runTwoOperators(sendings, Trouble::none, 0);
+      runTwoOperators(sentMessages, Fault::none, 0);
       ++trials;
-      for (Trouble const trouble : {Trouble::killPrimary, Trouble::cutPrimary, Trouble::shutDownPrimary}) {
-        for (std::size_t place = 1; place <= senders.size(); ++place) {
-          runTwoOperators(sendings, trouble, place);
+      for (Fault const fault : {Fault::killPrimary, Fault::cutPrimary, Fault::shutDownPrimary}) {
+        for (std::size_t faultAfter = 1; faultAfter <= senders.size(); ++faultAfter) {
+          runTwoOperators(sentMessages, fault, faultAfter);
           ++trials;
         }
       }
@@ -377,10 +380,10 @@
       }
     }
   } while (std::next_permutation(senders.begin(), senders.end()));
-  std::printf("%zu orders of messages and troubles\n", trials);
+  std::printf("%zu combinations of message order and fault\n", trials);
 }
 
-TEST(EightOrders, UnderWayAtOnceHaveOneWinnerAndEachRepetitionHasTheSameAnswer) {
+TEST(ConcurrentOrders, HaveOneWinnerAndRepetitionsGetTheSameAnswer) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
@@ -406,7 +409,7 @@
   }
 }
 
-/// Makes changes 1 to `count`, each on the one before, as revision 10 times its number.
+/// Makes changes 1 to `count`. Each is based on the one before, and its revision is 10 times its number.
 void makeChanges(FleetSimulation& fleet, OperatorSimulation& operators, std::uint64_t count) {
   for (std::uint64_t number = 1; number <= count; ++number) {
     ASSERT_EQ(operators.insist(orderOn(10 * (number - 1), 10 * number, "c"), Ms(15'000)), Reply::taken) << number;
@@ -414,7 +417,8 @@
   fleet.run(Ms(1000));
 }
 
-/// Every order made by makeChanges is sent again: the newest are acknowledged again, none is refused.
+/// Sends every order of makeChanges again. The newest `remembered` are acknowledged again, the others are answered
+/// `unknown`; none is refused.
 void expectRepetitionsKnown(OperatorSimulation& operators, std::uint64_t count, std::uint64_t remembered) {
   for (std::uint64_t number = 1; number <= count; ++number) {
     control::Change const order = orderOn(10 * (number - 1), 10 * number, "c");
@@ -425,11 +429,11 @@
   }
 }
 
-enum class Aftermath { calm, handOver, powerLoss, newGroup };
+enum class Disruption { calm, handOver, powerLoss, newGroup };
 
-class Repetition : public testing::TestWithParam<Aftermath> {};
+class RepeatedOrder : public testing::TestWithParam<Disruption> {};
 
-TEST_P(Repetition, OfAnyOfFourHundredChangesIsAcknowledgedAgainOrLeftWithoutAClearAnswer) {
+TEST_P(RepeatedOrder, IsAcknowledgedAgainOrAnsweredUnknown) {
   constexpr std::uint64_t count = 400;
   constexpr std::uint64_t remembered = 256;
   FleetSimulation fleet(5, controllers, 2, 3);
@@ -439,21 +443,21 @@
   ASSERT_FALSE(HasFatalFailure());
   std::size_t const primary = *fleet.primary();
   switch (GetParam()) {
-    case Aftermath::calm:
+    case Disruption::calm:
       break;
-    case Aftermath::handOver:
+    case Disruption::handOver:
       fleet.beginShutdown(primary);
       fleet.run(Ms(3000));
       fleet.kill(primary);
       ASSERT_NE(fleet.primary(), std::optional<std::size_t>(primary));
       break;
-    case Aftermath::powerLoss:
+    case Disruption::powerLoss:
       for (std::size_t index = 0; index < fleet.machines.size(); ++index) {
         fleet.kill(index);
       }
       fleet.startAll();
       break;
-    case Aftermath::newGroup: {
+    case Disruption::newGroup: {
       std::size_t const backup = memberOf(fleet, "backup");
       messages::State const state = fleet.machines[backup].controller->group->state();
       std::string const group = fleet.machines[backup].controller->group->decided().fleet;
@@ -472,26 +476,26 @@
   EXPECT_EQ(operators.judge(), std::vector<std::string>{});
 }
 
-std::string nameOf(Aftermath aftermath) {
-  switch (aftermath) {
-    case Aftermath::calm:
+std::string nameOf(Disruption disruption) {
+  switch (disruption) {
+    case Disruption::calm:
       return "InCalm";
-    case Aftermath::handOver:
+    case Disruption::handOver:
       return "AfterAHandOver";
-    case Aftermath::powerLoss:
+    case Disruption::powerLoss:
       return "AfterATotalLossOfPower";
-    case Aftermath::newGroup:
+    case Disruption::newGroup:
       return "AfterAForcedNewGroup";
   }
   return "";
 }
 
-INSTANTIATE_TEST_SUITE_P(Of, Repetition,
-                         testing::Values(Aftermath::calm, Aftermath::handOver, Aftermath::powerLoss,
-                                         Aftermath::newGroup),
-                         [](testing::TestParamInfo<Aftermath> const& aftermath) { return nameOf(aftermath.param); });
+INSTANTIATE_TEST_SUITE_P(Simulated, RepeatedOrder,
+                         testing::Values(Disruption::calm, Disruption::handOver, Disruption::powerLoss,
+                                         Disruption::newGroup),
+                         [](testing::TestParamInfo<Disruption> const& disruption) { return nameOf(disruption.param); });
 
-TEST(LeavingPrimary, TakesNoOrderSaysSoAtOnceAndItsSuccessorTakesThem) {
+TEST(ShuttingDownPrimary, DeclinesOrdersAtOnceAndItsSuccessorTakesThem) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
@@ -517,14 +521,14 @@
     }
     TimePoint const began = fleet.network.now();
     std::size_t const next = (draining + 1) % controllers;
-    EXPECT_EQ(insistElsewhere(fleet, operators, draining, zoneOrder("z1", true)), Reply::taken) << seed;
+    EXPECT_EQ(retryAtOtherControllers(fleet, operators, draining, zoneOrder("z1", true)), Reply::taken) << seed;
     EXPECT_LT(fleet.network.now() - began, Ms(3000)) << seed;
     EXPECT_TRUE(fleet.primary() != std::optional<std::size_t>(draining)) << seed << next;
     EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
   }
 }
 
-TEST(LeavingPrimary, ReplicatesNothingNewAlsoWhenItIsOfferedAState) {
+TEST(ShuttingDownPrimary, ReplicatesNoNewState) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
@@ -541,14 +545,14 @@
   }
 }
 
-control::Change keyed(std::string const& id, std::string const& body) {
+control::Change changeWithKey(std::string const& id, std::string const& body) {
   control::Change change;
   change.id = id;
   change.body = body;
   return change;
 }
 
-messages::State takenOn(messages::State state, control::Change const& change, std::uint64_t revision) {
+messages::State stateAfter(messages::State state, control::Change const& change, std::uint64_t revision) {
   ++state.sequence;
   state.configurationEpoch = 3;
   state.configurationSequence = state.sequence;
@@ -557,12 +561,13 @@
   return state;
 }
 
-TEST(Receipts, AreBoundedInBytesWhateverKeysAndBodiesCome) {
+TEST(Receipts, SizeIsBoundedForLongKeysAndBodies) {
   messages::State state;
   state.epoch = 3;
   std::size_t const empty = messages::pack(state).size();
   for (std::uint64_t number = 1; number <= 600; ++number) {
-    state = takenOn(state, keyed(std::string(120, 'k') + std::to_string(number), std::string(2000, 'b')), 10 * number);
+    state = stateAfter(state, changeWithKey(std::string(120, 'k') + std::to_string(number), std::string(2000, 'b')),
+                       10 * number);
   }
   std::size_t const bytes = messages::pack(state).size() - empty;
   std::printf("600 changes with keys of 123 bytes: receipts take %zu bytes\n", bytes);
@@ -570,21 +575,21 @@
   EXPECT_LT(bytes, 256U * 36);
 }
 
-TEST(Receipts, OfAnEarlierVersionAreRecognised) {
+TEST(Receipts, TextualFormOfEarlierVersionsIsRecognised) {
   messages::State state;
   state.configurationEpoch = 1;
   state.configurationSequence = 9;
   state.receipts.push_back({"old", 1, 9, "3097206923023036418/2/whole"});
-  EXPECT_NE(control::findReceipt(state, keyed("old", "{}")).match, control::ReceiptMatch::none);
-  EXPECT_EQ(control::findReceipt(state, keyed("new", "{}")).match, control::ReceiptMatch::none);
-  EXPECT_EQ(control::findReceipt(state, keyed("old", "{} ")).match, control::ReceiptMatch::otherContent);
+  EXPECT_NE(control::findReceipt(state, changeWithKey("old", "{}")).match, control::ReceiptMatch::none);
+  EXPECT_EQ(control::findReceipt(state, changeWithKey("new", "{}")).match, control::ReceiptMatch::none);
+  EXPECT_EQ(control::findReceipt(state, changeWithKey("old", "{} ")).match, control::ReceiptMatch::otherContent);
 }
 
-TEST(Receipts, ThatWereDroppedLeaveNoRefusalBehind) {
+TEST(Receipts, ChangeWithDroppedReceiptIsUnknownNotRefused) {
   messages::State state;
-  std::size_t const most = control::ConfigServiceOptions{}.maxReceipts;
-  for (std::uint64_t number = 1; number <= most + 2; ++number) {
-    state = takenOn(state, keyed("c" + std::to_string(number), "{}"), 10 * number);
+  std::size_t const maximum = control::ConfigServiceOptions{}.maxReceipts;
+  for (std::uint64_t number = 1; number <= maximum + 2; ++number) {
+    state = stateAfter(state, changeWithKey("c" + std::to_string(number), "{}"), 10 * number);
   }
   control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::nativeConfigSchema());
   std::function<control::OrderStatus(control::Change const&)> const verdictOf = [&](control::Change const& change) {
@@ -596,19 +601,19 @@
   EXPECT_EQ(verdictOf(onRevision), control::OrderStatus::unknown);
   onRevision.baseRevision = 20;
   EXPECT_EQ(verdictOf(onRevision), control::OrderStatus::conflict);
-  control::Change onVersion = keyed("other", "{}");
+  control::Change onVersion = changeWithKey("other", "{}");
   onVersion.base = config::Version{3, 1};
   EXPECT_EQ(verdictOf(onVersion), control::OrderStatus::unknown);
   onVersion.base = config::Version{3, 2};
   EXPECT_EQ(verdictOf(onVersion), control::OrderStatus::conflict);
-  EXPECT_EQ(verdictOf(keyed("none", documentOf(20, "x"))), control::OrderStatus::unknown);
-  EXPECT_EQ(verdictOf(keyed("none", documentOf(21, "x"))), control::OrderStatus::refused);
+  EXPECT_EQ(verdictOf(changeWithKey("none", documentOf(20, "x"))), control::OrderStatus::unknown);
+  EXPECT_EQ(verdictOf(changeWithKey("none", documentOf(21, "x"))), control::OrderStatus::refused);
 }
 
-TEST(Revision, ThatIsNamedAsBaseMustBeLeftBehind) {
+TEST(Revision, MustIncreaseIfNamedAsBase) {
   control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::nativeConfigSchema());
-  messages::State state = takenOn({}, keyed("c", "{}"), 5);
-  control::Change change = keyed("x", R"({"services":{"a":{}}})");
+  messages::State state = stateAfter({}, changeWithKey("c", "{}"), 5);
+  control::Change change = changeWithKey("x", R"({"services":{"a":{}}})");
   EXPECT_TRUE(std::holds_alternative<control::NewState>(evaluator.evaluate({1, change, state, 3})));
   change.baseRevision = 5;
   EXPECT_TRUE(std::holds_alternative<control::Rejection>(evaluator.evaluate({1, change, state, 3})));
@@ -616,13 +621,13 @@
   EXPECT_TRUE(std::holds_alternative<control::NewState>(evaluator.evaluate({1, change, state, 3})));
 }
 
-TEST(ContentKey, DoesNotUndoALaterChangeNorClaimToBeInForce) {
+TEST(ContentKey, RepetitionAfterALaterChangeIsUnknown) {
   control::OrderEvaluator const evaluator(control::ConfigServiceOptions{}, config::nativeConfigSchema());
-  control::Change first = keyed("content of first", R"({"services":{"a":{}}})");
+  control::Change first = changeWithKey("content of first", R"({"services":{"a":{}}})");
   first.keyedByContentOnly = true;
-  messages::State state = takenOn({}, first, 0);
+  messages::State state = stateAfter({}, first, 0);
   EXPECT_TRUE(std::holds_alternative<control::AlreadyTaken>(evaluator.evaluate({1, first, state, 3})));
-  state = takenOn(state, keyed("second", "{}"), 0);
+  state = stateAfter(state, changeWithKey("second", "{}"), 0);
   control::Evaluation const again = evaluator.evaluate({1, first, state, 3});
   ASSERT_TRUE(std::holds_alternative<control::Rejection>(again));
   EXPECT_EQ(std::get<control::Rejection>(again).verdict, control::OrderStatus::unknown);
@@ -630,7 +635,7 @@
   EXPECT_TRUE(std::holds_alternative<control::AlreadyTaken>(evaluator.evaluate({1, first, state, 3})));
 }
 
-TEST(AnswerGate, ReleasesWhatCameBeforeTheConfirmationBegan) {
+TEST(AnswerGate, ReleasesCallsThatArrivedBeforeTheConfirmationBegan) {
   TimePoint const start{std::chrono::hours(1)};
   control::AnswerGate gate;
   for (std::uint64_t ticket = 1; ticket <= 3; ++ticket) {
@@ -646,7 +651,7 @@
   EXPECT_EQ(gate.size(), 0U);
 }
 
-TEST(ForwardedOrder, IsDecidedOnlyByAnAnswerThatNamesIt) {
+TEST(ForwardedOrder, IsDecidedOnlyByAnAnswerThatNamesItsChange) {
   for (control::OrderStatus const verdict :
        {control::OrderStatus::taken, control::OrderStatus::refused, control::OrderStatus::conflict,
         control::OrderStatus::notRun, control::OrderStatus::unknown}) {
@@ -659,7 +664,7 @@
   }
 }
 
-TEST(LateOrder, IsNotBegunOnceItsTimeAfterItsArrivalHasPassed) {
+TEST(LateOrder, IsNotStartedAfterItsDeadline) {
   FleetSimulation fleet(4, controllers, gateways, 3);
   OperatorSimulation operators(fleet);
   fleet.startAll();
@@ -677,8 +682,9 @@
             std::vector<std::string>{"z1"});
 }
 
-// Guards against an order for a zone that was given up, overtaken by its opposite, and carried out all the same.
-TEST(AbandonedOrder, UndoesNothingWhateverTheMomentAtWhichItComes) {
+// Guards against a zone order that is carried out although its caller has left and the opposite order may have been
+// taken since.
+TEST(AbandonedOrder, IsNotStartedWhenItsCallerHasLeft) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
@@ -701,11 +707,12 @@
         << seed;
     EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
     fleet.expectNothingOf("z1");
-    ASSERT_EQ(operators.insist(zoneOrder("z1", false), Ms(5000)), Reply::taken) << "a caller that waits is served";
+    ASSERT_EQ(operators.insist(zoneOrder("z1", false), Ms(5000)), Reply::taken)
+        << "the order of a waiting caller must be taken";
   }
 }
 
-TEST(ZoneOrder, IsBegunOnceTheLeadershipIsConfirmedAsOfItsArrivalAndDoesNotHoldUpOthers) {
+TEST(ZoneOrder, StartsOnceLeadershipIsConfirmedAndBlocksNoOtherOrder) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
@@ -732,8 +739,8 @@
   }
 }
 
-// Bound: the interval between two heartbeats of the group, an echo and a tick.
-TEST(ZoneOrder, IsCarriedOutWithinASecondOfItsArrivalInCalmTimes) {
+// The bound covers the interval between two heartbeats of the group, the answer to one of them, and a tick.
+TEST(ZoneOrder, IsCarriedOutWithinASecondWithoutFaults) {
   Ms slowest{0};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FleetSimulation fleet(seed, controllers, gateways, 3);
--- a/tests/state_bounds_test.cpp
+++ b/tests/state_bounds_test.cpp
@@ -1,4 +1,4 @@
-// Whether everything that the configuration service accepts fits on a controller's disk.
+// Everything that the configuration service accepts fits on a controller's disk.
 #include "limeramp/control/state_bounds.h"
 
 #include "limeramp/control/change_receipts.h"
@@ -18,7 +18,7 @@
 
 ConfigServiceOptions const options;
 
-/// As long as a text on a roster may be, and different for each number.
+/// A text of the maximum length on a roster, different for each number.
 std::string longText(std::size_t number) {
   std::string out = std::to_string(number);
   return out.append(maxRosterTextBytes - out.size(), 'n');
@@ -62,8 +62,8 @@
   std::string folder_;
 };
 
-// Guards against the end of all changes by a configuration that was accepted and that no controller's disk could hold.
-TEST_F(StateBounds, TheLongestStateIsReplacedOnTheDiskBesideAllOtherRecords) {
+// Guards against an accepted configuration that fits on no controller's disk: no change could be made after it.
+TEST_F(StateBounds, LongestStateCanBeReplacedOnTheDiskBesideAllOtherRecords) {
   storage::RingLayout layout;
   layout.fileBytes = minStoreFileBytes(options);
   absl::StatusOr<std::unique_ptr<storage::RecordStore>> store = storage::RecordStore::open(folder_, layout);
@@ -73,14 +73,14 @@
   for (char const fill : {'a', 'b', 'c', 'd', 'e', 'f'}) {
     std::string const packed = messages::pack(longestState(fill));
     EXPECT_LE(packed.size(), maxStateBytes(options));
-    EXPECT_GT(packed.size(), maxStateBytes(options) * 9 / 10) << "the bound is far from what it bounds";
+    EXPECT_GT(packed.size(), maxStateBytes(options) * 9 / 10) << "the bound is far above the longest state";
     absl::Status const written =
         (*store)->put({{"state", packed}, {"state-schema", messages::schemaOf<messages::State>()}});
     ASSERT_TRUE(written.ok()) << fill << " " << written;
   }
 }
 
-TEST_F(StateBounds, ADocumentAboveItsBoundIsRefusedAndOneAtItIsTaken) {
+TEST_F(StateBounds, DocumentAboveTheBoundIsRefusedAndOneAtTheBoundIsTaken) {
   OrderEvaluator const evaluator(options, config::nativeConfigSchema());
   std::string const frame = R"({"revision":1,"services":{}})";
   for (std::size_t const surplus : {std::size_t{0}, std::size_t{1}}) {
@@ -92,7 +92,7 @@
   }
 }
 
-TEST_F(StateBounds, ANodeWithALongerNameOrAddressStaysOffTheRoster) {
+TEST_F(StateBounds, NodeWithTooLongNameAddressOrZoneStaysOffTheRoster) {
   NodeTracker tracker(options);
   TimePoint const now{std::chrono::hours(1)};
   std::string const tooLong(maxRosterTextBytes + 1, 'x');
@@ -106,17 +106,17 @@
   EXPECT_EQ(plan.roster.front().node, longText(4));
 }
 
-TEST_F(StateBounds, ARosterThatIsFullTakesNobodyMore) {
-  ConfigServiceOptions few = options;
-  few.maxNodes = 3;
-  NodeTracker tracker(few);
+TEST_F(StateBounds, FullRosterTakesNoMoreNodes) {
+  ConfigServiceOptions smallRoster = options;
+  smallRoster.maxNodes = 3;
+  NodeTracker tracker(smallRoster);
   TimePoint const now{std::chrono::hours(1)};
   for (std::string const node : {"a", "b", "c"}) {
     tracker.report(now, {node, node + ":1", "zone", 0, 0}, {node, 1, false, {}}, true);
   }
   std::vector<messages::RosterEntry> const current{{"x", "x:1", "zone", 0}, {"y", "y:1", "zone", 1}};
-  tracker.begin(now);
-  EXPECT_EQ(planRoster(now, few, current, tracker).roster.size(), few.maxNodes);
+  tracker.leadershipBegan(now);
+  EXPECT_EQ(planRoster(now, smallRoster, current, tracker).roster.size(), smallRoster.maxNodes);
 }
 
 }  // namespace
