--- a/libs/control/src/node_tracker.h
+++ b/libs/control/src/node_tracker.h
@@ -36,8 +36,8 @@
   /// The token and the start of the newest probe.
   std::uint64_t token = 0;
   TimePoint probedAt{};
-  /// The start of the first and of the newest probe since the last report that proved the end of the process. A probe
-  /// without that proof resets `firstGoneAt`.
+  /// When the first probe since the last report and the newest probe that proved the end of the process were started. A
+  /// probe without that proof resets `firstGoneAt`.
   TimePoint firstGoneAt{};
   TimePoint goneAt{};
   bool removedByOperator = false;
@@ -67,8 +67,9 @@
   /// True if the current incarnation of this node has reported `version` or a later one, of no later epoch than
   /// `epoch`.
   bool confirmed(std::string const& node, StateVersion const& version, std::uint64_t epoch) const;
-  /// True if the process that ran under this node's name when `version` was published is proved to have ended. A
-  /// process that confirms under this name afterwards has started after that publication.
+  /// True if any process that confirms under this node's name from now on is known to have started after `version` was
+  /// published: a probe that began after the publication proved the node's process to have ended, or an operator stated
+  /// that the node is gone.
   bool provedGone(std::string const& node, StateVersion const& version) const;
   /// True if the node has been proved gone for long enough to be removed from the roster.
   bool persistentlyGone(TimePoint now, std::string const& node) const;
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -301,7 +301,7 @@
   bool toPrimary = false;
 };
 
-enum class Fault { none, killPrimary, cutPrimary, shutDownPrimary };
+enum class Fault { none, killPrimary, isolatePrimary, shutDownPrimary };
 
 void injectFault(FleetSimulation& fleet, std::size_t primary, Fault fault) {
   switch (fault) {
@@ -310,7 +310,7 @@
     case Fault::killPrimary:
       fleet.kill(primary);
       return;
-    case Fault::cutPrimary:
+    case Fault::isolatePrimary:
       fleet.split({primary});
       return;
     case Fault::shutDownPrimary:
@@ -340,8 +340,8 @@
       injectFault(fleet, primary, fault);
     }
     if (index < sentMessages.size()) {
-      std::size_t const by = sentMessages[index].second ? 1 : 0;
-      operators.call({sentMessages[index].toPrimary ? primary : other, orders[by], sent[by]++ == 0}, callMs);
+      std::size_t const sender = sentMessages[index].second ? 1 : 0;
+      operators.call({sentMessages[index].toPrimary ? primary : other, orders[sender], sent[sender]++ == 0}, callMs);
       fleet.run(Ms(3));
     }
   }
@@ -369,7 +369,7 @@
       }
       runTwoOperators(sentMessages, Fault::none, 0);
       ++trials;
-      for (Fault const fault : {Fault::killPrimary, Fault::cutPrimary, Fault::shutDownPrimary}) {
+      for (Fault const fault : {Fault::killPrimary, Fault::isolatePrimary, Fault::shutDownPrimary}) {
         for (std::size_t faultAfter = 1; faultAfter <= senders.size(); ++faultAfter) {
           runTwoOperators(sentMessages, fault, faultAfter);
           ++trials;
