--- a/libs/gateway/include/limeramp/gateway/gateway_server.h
+++ b/libs/gateway/include/limeramp/gateway/gateway_server.h
@@ -10,13 +10,14 @@
 
 namespace limeramp::gateway {
 
-/// A running gateway: takes callers' requests, asks servers, forwards to other nodes, and relays operators' calls.
+/// A running gateway: serves callers' requests from servers or through other nodes, and forwards operators' calls to
+/// the primary.
 ///
 /// It runs on threads of its own from `start` until it is destroyed; its functions may be called from any thread.
 class GatewayServer {
  public:
-  /// Takes the addresses that the settings name and begins.
-  /// @return nothing, with the reason in `error`, if an address cannot be taken
+  /// Binds the addresses that the settings name and starts to serve.
+  /// @return null, with the reason in `error`, if an address cannot be bound
   static std::unique_ptr<GatewayServer> start(config::Settings const& settings, std::string& error,
                                               ProtocolAdapter adapter = nativeProtocolAdapter(),
                                               control::OperatorProtocolAdapter operators = {});
@@ -24,13 +25,14 @@
   GatewayServer(GatewayServer const&) = delete;
   GatewayServer& operator=(GatewayServer const&) = delete;
 
-  /// Looks at this settings file now and then, and takes what can change while the process runs.
+  /// Checks this settings file periodically and applies those settings that can change while the process runs.
   void follow(config::SettingsFile file);
 
-  /// Reads the settings file at once. No request notices.
+  /// Reads the settings file at once. Requests are not interrupted.
   void reload();
 
-  /// Takes nothing new, answers what is held, and returns within the grace time of the settings.
+  /// Drains: stops accepting connections after the notice time, answers the open requests, and returns within the grace
+  /// time of the settings.
   void drain();
 
  private:
--- a/libs/gateway/include/limeramp/gateway/protocol_adapter.h
+++ b/libs/gateway/include/limeramp/gateway/protocol_adapter.h
@@ -15,22 +15,22 @@
 #include <variant>
 #include <vector>
 
-/// The seam between the request path and the protocols of callers and servers. The decisions stand in RequestManager
-/// and Dispatcher; an adapter only reads and writes messages. All functions are pure and are called on the network's
+/// The interface between the request path and the protocols of callers and servers. RequestManager and Dispatcher make
+/// the decisions; an adapter only reads and writes messages. All functions are pure and are called on the network's
 /// thread.
 namespace limeramp::gateway {
 
-/// Who asks, read from a request.
+/// The caller of a request, as its headers describe it.
 struct Caller {
   std::string host;
   std::string tenant;
   /// The request's id; empty if the caller names none.
   std::string id;
-  /// How long the caller waits, if it says so.
+  /// How long the caller waits for the answer, if the request states it.
   std::optional<std::chrono::milliseconds> remainingMs;
 };
 
-/// Why a request gets an answer of the gateway's own.
+/// Why the gateway answers a request itself instead of with a server's result.
 enum class RefusalReason {
   malformed,
   unknownEntry,
@@ -43,10 +43,11 @@
   failed
 };
 
-/// An answer of the gateway's own. `verdict` says whether the request may have run; it decides the status.
+/// An answer that the gateway itself gives. `verdict` states whether the request may have run; the status follows from
+/// it and from `kind`.
 struct Refusal {
   RefusalReason kind = RefusalReason::failed;
-  /// For the log, if the answer was refused.
+  /// Plain text, which the adapter may write into the answer.
   std::string reason;
   retry::Verdict verdict = retry::Verdict::mayHaveRun;
   std::optional<std::chrono::milliseconds> retryAfter;
@@ -54,25 +55,26 @@
   std::string version;
 };
 
-/// What a request to a server belongs to.
+/// The caller's request and the shard that a request to a server belongs to.
 struct SubrequestContext {
   std::string request;
   std::string service;
   std::string partition;
-  /// The start of the server that is meant; another one must decline the request.
+  /// The incarnation of the server that is addressed; a server of another incarnation must decline the request.
   std::string incarnation;
   std::string version;
   std::chrono::milliseconds remainingMs{0};
-  /// Whether the answer is one shard's result, to be merged; otherwise it goes to the caller as it is.
+  /// Whether the answer is one shard's result, which is merged. Otherwise it is forwarded to the caller.
   bool expectsShardResult = false;
   std::size_t resultSize = 0;
 };
 
-/// A server's answer, judged.
+/// A server's answer after the adapter has classified it.
 struct ParsedAnswer {
   dispatch::AttemptFinished finished;
-  /// Set if the adapter has read the result itself; otherwise parseShardResult reads it.
+  /// Set if the adapter has parsed the result itself; otherwise parseShardResult parses it.
   std::optional<dispatch::ShardResult> shardResult;
+  /// For the log, if the answer was rejected.
   std::string reason;
 };
 
@@ -81,7 +83,7 @@
   std::string request;
   std::string version;
   std::vector<std::string> services;
-  /// Indexes of the shards that are not in.
+  /// Indexes of the shards whose results are missing.
   std::vector<std::size_t> missing;
   std::vector<dispatch::ShardResultPtr> shardResults;
   std::vector<std::string> records;
@@ -89,23 +91,23 @@
 
 /// The functions that one protocol needs.
 struct ProtocolAdapter {
-  /// Reads who asks, or says why the request is refused.
+  /// Reads the caller from a request, or returns why the request is refused.
   std::function<std::variant<Caller, Refusal>(net::Request const& request)> readCaller;
   /// Writes a merged answer.
   std::function<net::Answer(MergedResult const& merged)> writeMerged;
-  /// Adds to a server's answer what the protocol wants on its way to the caller.
+  /// Adds the protocol's headers to a server's answer that is forwarded to the caller.
   std::function<void(net::Answer& answer, std::string const& request, std::string const& version)> writeForwarded;
-  /// Writes an answer of the gateway's own.
+  /// Writes an answer that the gateway itself gives.
   std::function<net::Answer(Refusal const& refusal)> writeRefusal;
-  /// Adds to a request what the server must know.
+  /// Adds the protocol's headers to a request to a server.
   std::function<void(net::Request& request, SubrequestContext const& context)> writeAsk;
-  /// Judges a server's answer.
+  /// Classifies a server's answer.
   std::function<ParsedAnswer(net::Answer const& answer, SubrequestContext const& context)> readAnswer;
-  /// The call that reads a page of the list of servers; the first one is named "".
+  /// Returns the request that reads a page of the platform's list of servers; "" names the first page.
   std::function<net::Request(std::string const& page)> listRequest;
   /// Reads a page of the list.
   std::function<absl::StatusOr<discovery::List>(std::string const& body)> readList;
-  /// The language of the operators' configurations.
+  /// The schema of the configurations that operators write.
   config::ConfigSchema schema;
 };
 
--- a/libs/gateway/include/limeramp/gateway/request_manager.h
+++ b/libs/gateway/include/limeramp/gateway/request_manager.h
@@ -14,12 +14,12 @@
 #include <variant>
 #include <vector>
 
-/// The life of a caller's request on one node, from arrival to answer, as a pure state machine around a Dispatcher.
+/// Handles callers' requests on one node, from arrival to answer, as a pure state machine around a Dispatcher.
 namespace limeramp::gateway {
 
 using retry::TimePoint;
 
-/// Who this node is. `boot` tells this start from every other and is part of the ids that it makes.
+/// The identity of this node. `boot` identifies this start of the process and is part of the request ids that it makes.
 struct NodeIdentity {
   std::string node;
   std::string address;
@@ -27,20 +27,20 @@
   std::uint64_t boot = 0;
 };
 
-/// A caller's request, whole.
+/// A caller's request was read completely.
 struct RequestReceived {
   std::uint64_t request = 0;
   net::Request content;
-  /// Another node has forwarded it: it is served here or refused, never forwarded again.
+  /// Set if another node forwarded the request. It is then served here or refused, never forwarded again.
   bool forwarded = false;
   std::optional<std::chrono::milliseconds> remainingMs;
 };
-/// What came of an attempt at a server.
+/// An attempt at a server or at another node has ended.
 struct ExchangeFinished {
   std::uint64_t attempt = 0;
   net::Exchange exchange;
 };
-/// A worker has read a shard result.
+/// A worker has parsed a shard result.
 struct ShardResultParsed {
   std::uint64_t attempt = 0;
   absl::StatusOr<dispatch::ShardResult> shardResult;
@@ -51,36 +51,36 @@
   std::uint64_t request = 0;
   std::vector<std::string> records;
 };
-/// From now on requests pin this snapshot; those that are open keep theirs.
+/// A new configuration is in force. Later requests are pinned to this snapshot; open ones keep theirs.
 struct ConfigurationInForce {
   config::SnapshotPtr snapshot;
 };
-/// A service has other servers.
+/// The set of servers of a service has changed.
 struct EndpointsChanged {
   dispatch::ServersUpdated servers;
 };
-/// The nodes that own a cell.
+/// The addresses of the nodes that own a cell.
 struct CellOwners {
   std::string cell;
   std::vector<std::string> addresses;
 };
-/// This node's share of the fleet is another one.
+/// This node's share of the fleet's limits has changed.
 struct PositionChanged {
   dispatch::FleetPosition position;
 };
-/// Time has passed; see nextWake.
+/// The time that nextWake named has come.
 struct Tick {};
 
-/// All that can happen to the requests of a node.
+/// The events that RequestManager::step takes.
 using RequestEvent = std::variant<RequestReceived, ExchangeFinished, ShardResultParsed, MergeFinished,
                                   ConfigurationInForce, EndpointsChanged, CellOwners, PositionChanged, Tick>;
 
-/// The answer to a caller. Exactly one for each request.
+/// The answer to a caller. Each request gets exactly one.
 struct Reply {
   std::uint64_t request = 0;
   net::Answer answer;
 };
-/// Send this to a server, or to a node that owns the cell.
+/// Send this request to a server, or to a node that owns the cell.
 struct SendRequest {
   std::uint64_t attempt = 0;
   std::string server;
@@ -89,11 +89,11 @@
   bool toCellOwner = false;
   std::chrono::milliseconds remainingMs{0};
 };
-/// Nobody waits for this attempt any more; its answer is not used.
+/// Cancel this attempt. Its answer is no longer used.
 struct CancelRequest {
   std::uint64_t attempt = 0;
 };
-/// Have a worker read this result.
+/// Have a worker parse this shard result.
 struct ParseShardResult {
   std::uint64_t attempt = 0;
   std::string body;
@@ -101,37 +101,38 @@
   std::size_t resultSize = 0;
   std::optional<double> load;
 };
-/// Have a worker merge these results.
+/// Have a worker merge these shard results.
 struct MergeShardResults {
   std::uint64_t request = 0;
   std::vector<dispatch::ShardResultPtr> shardResults;
   std::size_t resultSize = 0;
 };
 
-/// All that a step can ask for.
+/// The effects that RequestManager::step returns.
 using RequestEffect =
     std::variant<Reply, SendRequest, CancelRequest, ParseShardResult, MergeShardResults, dispatch::LogEntry>;
 
-/// Admits callers' requests, pins each to the configuration in force, asks servers as the Dispatcher says, and answers.
-/// Guarantees: one answer for each request; a merged answer holds results of one request and one configuration only; an
-/// attempt is sent again only if it has not run or the request is idempotent. Not safe for use by several threads.
+/// Admits callers' requests, pins each to the configuration in force, sends the attempts that the Dispatcher decides
+/// on, and answers. Guarantees: each request gets exactly one answer; a merged answer holds results of one request and
+/// one configuration only; a subrequest is sent again only if its earlier attempts have not run or the request is
+/// idempotent. Not safe for use by several threads.
 class RequestManager {
  public:
-  RequestManager(NodeIdentity const& self, dispatch::DispatchOptions const& policy,
+  RequestManager(NodeIdentity const& self, dispatch::DispatchOptions const& options,
                  ProtocolAdapter adapter = nativeProtocolAdapter());
   ~RequestManager();
   RequestManager(RequestManager&&) noexcept;
   RequestManager& operator=(RequestManager&&) noexcept;
 
-  /// Takes one event; the effects are to be carried out in their order.
+  /// Handles one event and returns the effects, which the caller carries out in order.
   std::vector<RequestEffect> step(TimePoint now, RequestEvent const& event);
-  /// When to send the next Tick; nothing while nothing waits.
+  /// When to send the next Tick; nothing if no timer is pending.
   std::optional<TimePoint> nextWake(TimePoint now) const;
   /// The configuration in force; null before the first one.
   config::SnapshotPtr snapshot() const;
   std::vector<dispatch::ServerStatus> servers(TimePoint now) const;
   dispatch::Counters counters() const;
-  /// Requests that are open.
+  /// Number of open requests.
   std::size_t requests() const;
 
  private:
--- a/libs/gateway/src/configuration_in_force.cpp
+++ b/libs/gateway/src/configuration_in_force.cpp
@@ -1,4 +1,5 @@
-// Puts a delivered state in force: the configuration, this node's share of the fleet, the servers of each service.
+// Applies a delivered state: the configuration, this node's share of the fleet's limits, and the servers of each
+// service.
 #include "gateway_server_impl.h"
 
 #include "limeramp/control/zones.h"
@@ -9,13 +10,18 @@
 namespace limeramp::gateway {
 namespace {
 
+/// The retry slack is divided among at least this many roster slots.
 constexpr std::uint64_t minBudgetSlots = 20;
+/// A draining gateway counts as one of so many that its share of each server is negligible.
 constexpr std::size_t gatewayCountWhileDraining = 1'000'000;
-constexpr double slackShare = 0.9;
-constexpr double connectionShare = 0.85;
+/// Part of `extraSlack` that is given out as retry budgets.
+constexpr double retrySlackShare = 0.9;
+/// Part of a server's connection limit that the gateways use together.
+constexpr double connectionLimitShare = 0.85;
 constexpr std::size_t minConnections = 2;
 constexpr std::size_t maxConnectionLimits = 20'000;
-constexpr Ms scarceIdleMs{200};
+/// Idle timeout of connections to a server whose limit leaves this gateway fewer than `minConnections`.
+constexpr Ms scarceConnectionIdleMs{200};
 
 }  // namespace
 
@@ -31,8 +37,8 @@
     return;
   }
   config::CheckedConfiguration checked = adapter.schema.check(state.document);
-  unreadable = !checked.configuration;
-  if (unreadable) {
+  documentUnreadable = !checked.configuration;
+  if (documentUnreadable) {
     logging::raise(logging::Event::configurationUnreadable,
                    {{"version", version.text()}, {"path", checked.problems.front().path}});
     return;
@@ -49,16 +55,16 @@
 }
 
 void GatewayServer::Impl::replaceServices(config::Configuration const& configuration) {
-  std::set<std::string> next;
+  std::set<std::string> newServices;
   for (std::pair<std::string const, config::Service> const& entry : configuration.services) {
-    next.insert(entry.first);
+    newServices.insert(entry.first);
   }
   for (std::string const& service : services) {
-    if (!next.contains(service)) {
+    if (!newServices.contains(service)) {
       step(EndpointsChanged{dispatch::ServersUpdated{service, {}}});
     }
   }
-  services = std::move(next);
+  services = std::move(newServices);
   for (std::string const& service : services) {
     updateServers(service);
   }
@@ -66,24 +72,25 @@
 
 void GatewayServer::Impl::updateFleetPosition() {
   messages::State const& state = *delivery.state();
-  dispatch::FleetPosition own;
-  own.zone = settings.zone;
-  own.budgetRatio = settings.extraRatio;
-  own.gatewayCount = std::max<std::size_t>(1, state.roster.size());
+  dispatch::FleetPosition position;
+  position.zone = settings.zone;
+  position.budgetRatio = settings.extraRatio;
+  position.gatewayCount = std::max<std::size_t>(1, state.roster.size());
   std::uint64_t const slots = std::max<std::uint64_t>(minBudgetSlots, (state.roster.size() * 5 / 4 + 9) / 10 * 10);
   std::size_t index = 0;
   for (messages::RosterEntry const& entry : state.roster) {
     if (entry.node == settings.node && entry.address == settings.advertise) {
-      own.gatewayIndex = index;
-      own.budgetDepth = entry.slot < slots ? settings.extraSlack * slackShare / static_cast<double>(slots) : 0;
+      position.gatewayIndex = index;
+      position.budgetDepth =
+          entry.slot < slots ? settings.extraSlack * retrySlackShare / static_cast<double>(slots) : 0;
     }
     ++index;
   }
   if (draining) {
-    own.gatewayCount = gatewayCountWhileDraining;
-    own.budgetDepth = 0;
+    position.gatewayCount = gatewayCountWhileDraining;
+    position.budgetDepth = 0;
   }
-  step(PositionChanged{own});
+  step(PositionChanged{position});
   if (requestManager.snapshot() == nullptr) {
     return;
   }
@@ -98,17 +105,17 @@
   }
 }
 
-void GatewayServer::Impl::boundConnections(std::string const& address, std::size_t allowed) {
+void GatewayServer::Impl::limitConnections(std::string const& address, std::size_t allowed) {
   std::optional<net::Address> const server = net::Address::parse(address);
   if (allowed == 0 || !server) {
     return;
   }
-  double const share = static_cast<double>(allowed) * connectionShare /
+  double const share = static_cast<double>(allowed) * connectionLimitShare /
                        static_cast<double>(std::max<std::size_t>(1, delivery.state()->roster.size()));
   net::ConnectionLimit const limit{std::max<std::size_t>(minConnections, static_cast<std::size_t>(share)),
-                                   share < minConnections ? scarceIdleMs : net::ConnectionLimit{}.idleMs};
-  net::ConnectionLimit& known = connectionLimits[address];
-  if (known.maximum != limit.maximum || known.idleMs != limit.idleMs) {
+                                   share < minConnections ? scarceConnectionIdleMs : net::ConnectionLimit{}.idleMs};
+  net::ConnectionLimit& currentLimit = connectionLimits[address];
+  if (currentLimit.maximum != limit.maximum || currentLimit.idleMs != limit.idleMs) {
     if (connectionLimits.size() > maxConnectionLimits) {
       connectionLimits.clear();
     }
@@ -128,7 +135,7 @@
   for (dispatch::ServerEndpoint& row : servers.rows) {
     row.draining = row.draining || evacuated.contains(row.zone);
     row.warmupPerSecond = configuration.services.at(service).warmupPerSecond;
-    boundConnections(row.address, configuration.services.at(service).maxConnections);
+    limitConnections(row.address, configuration.services.at(service).maxConnections);
     if (row.slowStartMs.count() == 0) {
       row.slowStartMs = configuration.services.at(service).slowStartMs;
     }
--- a/libs/gateway/src/event_loop.cpp
+++ b/libs/gateway/src/event_loop.cpp
@@ -1,4 +1,4 @@
-// The loop of a gateway: inbound messages one after another, and the timer.
+// The event loop of a gateway: handles inbound messages one at a time, and runs the timer.
 #include "gateway_server_impl.h"
 
 #include "limeramp/logging/logging.h"
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr Ms tickMs{50};
-constexpr Ms eagerMs{3000};
+/// How long after its start a node without a delivered state asks all seeds for peers.
+constexpr Ms eagerDiscoveryMs{3000};
 
 }  // namespace
 
@@ -20,19 +21,19 @@
     return;
   }
   inboundMessages.push_back(std::move(inbound));
-  if (!handling) {
+  if (!handlingInbound) {
     handleInbound();
   }
 }
 
 void GatewayServer::Impl::handleInbound() {
-  handling = true;
+  handlingInbound = true;
   while (!inboundMessages.empty()) {
     InboundMessage inbound = std::move(inboundMessages.front());
     inboundMessages.pop_front();
     std::visit([this](auto& concrete) { on(concrete); }, inbound);
   }
-  handling = false;
+  handlingInbound = false;
   armTimer();
 }
 
@@ -42,9 +43,9 @@
   if (armedFor <= wake) {
     return;
   }
-  network.cancel(alarm);
+  network.cancel(timer);
   armedFor = wake;
-  alarm = network.at(wake, [this] { onTimer(); });
+  timer = network.at(wake, [this] { onTimer(); });
 }
 
 void GatewayServer::Impl::onTimer() {
@@ -62,16 +63,16 @@
 
 void GatewayServer::Impl::tick() {
   Clock::time_point const now = Clock::now();
-  std::vector<messages::Peer> const peers = views.peers(now);
-  peerLink.sendAll(fleet, views.tick(now, !delivery.state() && now - startedAt < eagerMs));
+  std::vector<messages::Peer> const peers = peerViews.peers(now);
+  peerLink.sendAll(fleet, peerViews.tick(now, !delivery.state() && now - startedAt < eagerDiscoveryMs));
   apply(delivery.tick(now, peers));
-  apply(directory.tick(now, surroundings()));
+  apply(directory.tick(now, currentZoneView()));
   forwarder.tick(now, delivery.primaryAddress());
   refreshReadiness(now);
   apply(settingsFollower.tick(now));
 }
 
-discovery::ZoneView GatewayServer::Impl::surroundings() const {
+discovery::ZoneView GatewayServer::Impl::currentZoneView() const {
   discovery::ZoneView zoneView;
   zoneView.services = services;
   zoneView.zoneAddresses.push_back(settings.advertise);
@@ -83,7 +84,7 @@
     }
     return zoneView;
   }
-  for (messages::Peer const& peer : views.peers(Clock::now())) {
+  for (messages::Peer const& peer : peerViews.peers(Clock::now())) {
     if (peer.role == messages::gatewayRole && peer.zone == settings.zone && peer.address != settings.advertise) {
       zoneView.zoneAddresses.push_back(peer.address);
     }
@@ -93,8 +94,8 @@
 
 void GatewayServer::Impl::refreshReadiness(Clock::time_point now) {
   std::string const reason = notReadyReason(now);
-  if (!callersLetIn && (reason.empty() || now - startedAt >= settings.startHoldMs)) {
-    callersLetIn = true;
+  if (!callerListenersOpen && (reason.empty() || now - startedAt >= settings.startHoldMs)) {
+    callerListenersOpen = true;
     listeners.open(node::Listeners::Audience::callers);
   }
   if (reason != lastNotReadyReason) {
@@ -103,7 +104,7 @@
   }
 }
 
-void GatewayServer::Impl::on(Incoming& inbound) {
+void GatewayServer::Impl::on(IncomingRequest& inbound) {
   std::string const& target = inbound.content.target;
   if (!inbound.caller && (target == "/limeramp" || target.starts_with("/limeramp/"))) {
     serveOperator(inbound);
@@ -127,7 +128,7 @@
     return;
   }
   settings = update->settings;
-  views.setSeeds(settings.seeds);
+  peerViews.setSeeds(settings.seeds);
   directory.setListRate(settings.listMs, settings.listPageMs);
   listeners.setMaxConnections(settings.maxConnections);
   if (delivery.state()) {
@@ -137,8 +138,8 @@
   drainTimes = {settings.graceMs, settings.noticeMs};
 }
 
-void GatewayServer::Impl::on(EndRequested&) {
-  ending = true;
+void GatewayServer::Impl::on(TerminationRequested&) {
+  terminating = true;
   std::unordered_map<std::uint64_t, net::Responder> const waiting = std::move(responders);
   responders.clear();
   for (std::pair<std::uint64_t const, net::Responder> const& entry : waiting) {
--- a/libs/gateway/src/forwarding.cpp
+++ b/libs/gateway/src/forwarding.cpp
@@ -1,4 +1,4 @@
-// Requests of callers: admission, the attempts at servers and other nodes, and the answers.
+// Callers' requests: admission, attempts at servers and at other nodes, and answers.
 #include "gateway_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -9,13 +9,14 @@
 namespace limeramp::gateway {
 namespace {
 
-constexpr std::size_t maxCallerBytes = 1 << 20;
+/// Limit on a request's body until a configuration is in force.
+constexpr std::size_t defaultMaxBodyBytes = 1 << 20;
 constexpr std::uint64_t maxForwardedMs = 60'000;
-constexpr Ms staleRetryMs{1'000};
-/// Another node can take the request at once.
-constexpr Ms endingRetryMs{50};
+constexpr Ms staleRetryAfterMs{1'000};
+/// Short, because another node can serve the request at once.
+constexpr Ms terminatingRetryAfterMs{50};
 constexpr char const* forwardPath = "/limeramp/carry";
-constexpr char const* avroType = "avro/binary";
+constexpr char const* avroContentType = "avro/binary";
 
 std::vector<messages::HeaderLine> toLines(net::Headers const& headers) {
   std::vector<messages::HeaderLine> out;
@@ -33,7 +34,7 @@
   return out;
 }
 
-/// The request that carries a caller's request to another node.
+/// Wraps a caller's request in a message to a node that owns the tenant's cell.
 net::Request toForwardRequest(SendRequest const& effect, std::string const& from) {
   messages::ForwardRequest forward;
   forward.remainingMs = static_cast<std::uint64_t>(std::max<long>(1, effect.remainingMs.count()));
@@ -43,12 +44,12 @@
   forward.body = effect.content.body;
   return {"POST",
           forwardPath,
-          {{"content-type", avroType}, {"limeramp-from", from}},
+          {{"content-type", avroContentType}, {"limeramp-from", from}},
           messages::withChecksum(messages::pack(forward)),
           ""};
 }
 
-/// Replaces the other node's answer by the one that it carries. One that carries none may have run.
+/// Unwraps the answer to the caller from the other node's reply. If the reply holds none, the request may have run.
 net::Exchange fromForwardReply(net::Exchange exchange) {
   if (!exchange.answer) {
     return exchange;
@@ -68,20 +69,20 @@
 
 void GatewayServer::Impl::admit(net::Request content, net::Responder respond, bool forwarded,
                                 std::optional<Ms> remainingMs) {
-  if (ending) {
+  if (terminating) {
     respond(adapter.writeRefusal(
-        {RefusalReason::overloaded, "this node ends", retry::Verdict::notRun, endingRetryMs, "", ""}));
+        {RefusalReason::overloaded, "this node ends", retry::Verdict::notRun, terminatingRetryAfterMs, "", ""}));
     return;
   }
   distribution::ConfigFreshness const freshness = delivery.status(Clock::now()).freshness;
   if (!distribution::mayServe(freshness)) {
     ++refusedStale;
     respond(adapter.writeRefusal({RefusalReason::stale, "this node's configuration is " + nameOf(freshness),
-                                  retry::Verdict::notRun, staleRetryMs, "", ""}));
+                                  retry::Verdict::notRun, staleRetryAfterMs, "", ""}));
     return;
   }
   if (content.body.size() > (requestManager.snapshot() == nullptr
-                                 ? maxCallerBytes
+                                 ? defaultMaxBodyBytes
                                  : requestManager.snapshot()->configuration.limits.maxBodyBytes)) {
     respond(adapter.writeRefusal(
         {RefusalReason::tooLong, "the body is longer than the limit", retry::Verdict::notRun, {}, "", ""}));
@@ -93,7 +94,7 @@
   step(RequestReceived{request, std::move(content), forwarded, remainingMs});
 }
 
-void GatewayServer::Impl::takeForwarded(Incoming& inbound) {
+void GatewayServer::Impl::serveForwarded(IncomingRequest& inbound) {
   absl::StatusOr<messages::ForwardRequest> const received =
       messages::unpack<messages::ForwardRequest>(messages::verifyChecksum(inbound.content.body).value_or(""));
   if (!received.ok()) {
@@ -105,9 +106,9 @@
   admit(
       std::move(content),
       [respond = std::move(inbound.respond)](net::Answer const& answer) {
-        messages::ForwardReply const back{static_cast<std::uint64_t>(answer.status), toLines(answer.headers),
-                                          answer.body};
-        respond({200, {{"content-type", avroType}}, messages::withChecksum(messages::pack(back))});
+        messages::ForwardReply const forwardReply{static_cast<std::uint64_t>(answer.status), toLines(answer.headers),
+                                                  answer.body};
+        respond({200, {{"content-type", avroContentType}}, messages::withChecksum(messages::pack(forwardReply))});
       },
       true, Ms(static_cast<long>(std::min<std::uint64_t>(received->remainingMs, maxForwardedMs))));
 }
--- a/libs/gateway/src/gateway_server.cpp
+++ b/libs/gateway/src/gateway_server.cpp
@@ -1,4 +1,4 @@
-// Start and end of a gateway.
+// Startup and shutdown of a gateway.
 #include "gateway_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -12,12 +12,12 @@
 constexpr std::size_t maxInboundMessages = 16'384;
 constexpr std::size_t maxRequestBytes = 4 << 20;
 constexpr std::size_t maxReadinessBytes = 64 << 10;
-constexpr std::uint64_t relayAttempts = 1ULL << 61;
+constexpr std::uint64_t firstForwarderAttempt = 1ULL << 61;
 constexpr Ms connectMs{300};
-constexpr Ms overloadPauseMs{1'000};
-/// What is left of the grace time for the last answers to be written.
-constexpr Ms lastAnswersMs{300};
-/// How often a process that ends looks for requests that are still being read.
+constexpr Ms overloadRetryAfterMs{1'000};
+/// Part of the grace time that is reserved for writing the last answers.
+constexpr Ms answerFlushMs{300};
+/// How often `drainAndWait` checks for requests that are still being read.
 constexpr Ms drainPollMs{20};
 
 dispatch::DispatchOptions dispatchOptionsOf(config::Settings const& settings) {
@@ -27,7 +27,7 @@
   return options;
 }
 
-discovery::ServerDirectoryOptions directoryPolicyOf(config::Settings const& settings) {
+discovery::ServerDirectoryOptions directoryOptionsOf(config::Settings const& settings) {
   discovery::ServerDirectoryOptions options;
   options.listMs = settings.listMs;
   options.pageMs = settings.listPageMs;
@@ -67,13 +67,14 @@
       boot(net::randomUint64() >> 1),
       requestManager(NodeIdentity{settingsIn.node, settingsIn.advertise, settingsIn.zone, boot},
                      dispatchOptionsOf(settingsIn), adapter),
-      views({}, messages::Peer{settingsIn.node, settingsIn.advertise, settingsIn.zone, messages::gatewayRole, boot, 0},
-            settingsIn.seeds, net::randomUint64()),
+      peerViews({},
+                messages::Peer{settingsIn.node, settingsIn.advertise, settingsIn.zone, messages::gatewayRole, boot, 0},
+                settingsIn.seeds, net::randomUint64()),
       delivery({}, messages::Follower{settingsIn.node, settingsIn.advertise, settingsIn.zone, 0, 0}, boot,
                net::randomUint64()),
-      directory(directoryPolicyOf(settingsIn), settingsIn.node, settingsIn.advertise, settingsIn.zone),
-      forwarder(client, settingsIn.advertise, relayAttempts,
-                [this](control::ForwardFinished back) { post(std::move(back)); }),
+      directory(directoryOptionsOf(settingsIn), settingsIn.node, settingsIn.advertise, settingsIn.zone),
+      forwarder(client, settingsIn.advertise, firstForwarderAttempt,
+                [this](control::ForwardFinished finished) { post(std::move(finished)); }),
       listeners(network),
       drainTimes{settingsIn.graceMs, settingsIn.noticeMs} {}
 
@@ -89,37 +90,38 @@
 
 bool GatewayServer::Impl::listen(std::string& error) {
   using Audience = node::Listeners::Audience;
-  net::HttpServer::Handler const takePeer = [this](net::Request request, net::Responder respond) {
+  net::HttpServer::Handler const handlePeerRequest = [this](net::Request request, net::Responder respond) {
     if (inboundMessages.size() >= maxInboundMessages) {
       respond(adapter.writeRefusal(
-          {RefusalReason::overloaded, "overloaded", retry::Verdict::notRun, overloadPauseMs, "", ""}));
+          {RefusalReason::overloaded, "overloaded", retry::Verdict::notRun, overloadRetryAfterMs, "", ""}));
       return;
     }
-    post(Incoming{std::move(request), std::move(respond), false});
+    post(IncomingRequest{std::move(request), std::move(respond), false});
   };
-  net::HttpServer::Handler const takeCaller = [this](net::Request request, net::Responder respond) {
-    post(Incoming{std::move(request), std::move(respond), true});
+  net::HttpServer::Handler const handleCallerRequest = [this](net::Request request, net::Responder respond) {
+    post(IncomingRequest{std::move(request), std::move(respond), true});
   };
-  net::HttpServer::Handler const takeOperator = [this, takePeer](net::Request request, net::Responder respond) {
-    control::serveOperator(operators, std::move(request), std::move(respond), takePeer);
+  net::HttpServer::Handler const handleOperatorRequest = [this, handlePeerRequest](net::Request request,
+                                                                                   net::Responder respond) {
+    control::serveOperator(operators, std::move(request), std::move(respond), handlePeerRequest);
   };
-  net::ServerOptions const general = listenerOptions(maxRequestBytes);
-  net::ServerOptions callers = general;
-  callers.opensLater = true;
-  net::ServerOptions peers = general;
-  peers.watchesCaller = control::needsCaller;
-  peers.gone = [this](std::uint64_t token) { post(control::RequestAbandoned{token}); };
-  net::ServerOptions operatorsOptions = peers;
-  operatorsOptions.watchesCaller = control::mayBeOrder;
-  return listeners.listen(Audience::callers, settings.callerListens, callers, takeCaller, error) &&
-         listeners.listen(Audience::peers, {settings.listen}, peers, takePeer, error) &&
+  net::ServerOptions const commonOptions = listenerOptions(maxRequestBytes);
+  net::ServerOptions callerOptions = commonOptions;
+  callerOptions.opensLater = true;
+  net::ServerOptions peerOptions = commonOptions;
+  peerOptions.watchesCaller = control::needsCaller;
+  peerOptions.gone = [this](std::uint64_t token) { post(control::RequestAbandoned{token}); };
+  net::ServerOptions operatorOptions = peerOptions;
+  operatorOptions.watchesCaller = control::mayBeOrder;
+  return listeners.listen(Audience::callers, settings.callerListens, callerOptions, handleCallerRequest, error) &&
+         listeners.listen(Audience::peers, {settings.listen}, peerOptions, handlePeerRequest, error) &&
          listeners.listen(Audience::readiness, settings.readinessListens, listenerOptions(maxReadinessBytes),
-                          takeOperator, error) &&
-         listeners.listen(Audience::operators, settings.operatorListens, operatorsOptions, takeOperator, error);
+                          handleOperatorRequest, error) &&
+         listeners.listen(Audience::operators, settings.operatorListens, operatorOptions, handleOperatorRequest, error);
 }
 
-// A request that is being read counts: once it is whole it is served as any other. Connections stay busy until their
-// answers are written, so none is missed between the two counts.
+// A request that is still being read counts, because it is served once it is complete. A connection stays busy until
+// its answer is written, so no request falls between the two counts.
 bool GatewayServer::Impl::holdsRequests() const {
   using Audience = node::Listeners::Audience;
   return unanswered > 0 || listeners.busyConnections(Audience::callers) > 0 ||
@@ -127,18 +129,18 @@
 }
 
 void GatewayServer::Impl::drainAndWait() {
-  Clock::time_point const begunAt = Clock::now();
+  Clock::time_point const drainStartedAt = Clock::now();
   post(DrainRequested{});
   std::unique_lock<std::mutex> lock(unansweredMutex);
-  Ms const graceMs = std::max(drainTimes.graceMs, lastAnswersMs * 4);
-  unansweredChanged.wait_until(lock, begunAt + std::min(graceMs / 2, drainTimes.noticeMs), [] { return false; });
+  Ms const graceMs = std::max(drainTimes.graceMs, answerFlushMs * 4);
+  unansweredChanged.wait_until(lock, drainStartedAt + std::min(graceMs / 2, drainTimes.noticeMs), [] { return false; });
   listeners.stopAccepting();
-  Clock::time_point const endBy = begunAt + graceMs - lastAnswersMs * 2;
-  while (holdsRequests() && Clock::now() < endBy) {
+  Clock::time_point const drainDeadline = drainStartedAt + graceMs - answerFlushMs * 2;
+  while (holdsRequests() && Clock::now() < drainDeadline) {
     unansweredChanged.wait_for(lock, drainPollMs);
   }
-  post(EndRequested{});
-  unansweredChanged.wait_for(lock, lastAnswersMs, [] { return false; });
+  post(TerminationRequested{});
+  unansweredChanged.wait_for(lock, answerFlushMs, [] { return false; });
 }
 
 GatewayServer::GatewayServer() = default;
--- a/libs/gateway/src/gateway_server_impl.h
+++ b/libs/gateway/src/gateway_server_impl.h
@@ -22,68 +22,71 @@
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 
-/// A request that arrived at one of this node's listeners.
-struct Incoming {
+/// A request that was read from one of this node's listeners.
+struct IncomingRequest {
   net::Request content;
   net::Responder respond;
-  /// Whether it came to a listener for callers, which knows no pages of the node's own.
+  /// Whether it came to a listener for callers, which does not serve the paths under /limeramp.
   bool caller = false;
-  /// When the network thread had read the request: a process that is held up afterwards does not prolong its deadline.
+  /// When the network thread had read the request. Deadlines count from here, so that a process that stalls afterwards
+  /// does not extend them.
   Clock::time_point arrivedAt = Clock::now();
 };
 
-/// What came of reading a page of the platform's list.
+/// The result of reading one page of the platform's list of servers.
 struct ListRead {
   net::Exchange exchange;
 };
 
-/// Asks the node to take nothing new and to finish what it holds.
+/// Starts draining: the node reports that it is not ready and finishes its open requests.
 struct DrainRequested {};
 
-/// Asks the node to refuse what it still holds, since the process ends.
-struct EndRequested {};
+/// Refuses all open requests and all later ones, because the process is about to exit.
+struct TerminationRequested {};
 
-/// Names the settings file to follow from now on.
+/// Sets the settings file that is checked for changes from now on.
 struct FollowSettings {
   config::SettingsFile file;
 };
 
-/// Asks for the settings file to be read at once.
+/// Reloads the settings file at once.
 struct ReloadRequested {};
 
-using InboundMessage = std::variant<Incoming, control::RequestAbandoned, ListRead, control::ForwardFinished,
-                                    DrainRequested, EndRequested, FollowSettings, ReloadRequested, RequestEvent>;
+using InboundMessage =
+    std::variant<IncomingRequest, control::RequestAbandoned, ListRead, control::ForwardFinished, DrainRequested,
+                 TerminationRequested, FollowSettings, ReloadRequested, RequestEvent>;
 
 std::string nameOf(distribution::ConfigFreshness freshness);
 
-/// All of a gateway. Its members belong to the network's thread, but for what `unansweredMutex` guards.
+/// The implementation of a gateway. Its members belong to the network's thread, except those that `unansweredMutex`
+/// guards.
 ///
-/// The functions stand by job in event_loop.cpp, forwarding.cpp, operator_calls.cpp, peer_messages.cpp,
+/// The functions are grouped by task in event_loop.cpp, forwarding.cpp, operator_calls.cpp, peer_messages.cpp,
 /// configuration_in_force.cpp, list_reader.cpp and status_pages.cpp.
 struct GatewayServer::Impl {
   Impl(config::Settings const& settingsIn, ProtocolAdapter adapterIn, control::OperatorProtocolAdapter operatorsIn);
 
-  // Start and end: gateway_server.cpp.
+  // Startup and shutdown: gateway_server.cpp.
   bool listen(std::string& error);
   net::ServerOptions listenerOptions(std::size_t maxBodyBytes);
   void drainAndWait();
   /// Whether a request is being read or has no answer yet. Called with `unansweredMutex` held.
   bool holdsRequests() const;
 
-  // The loop: event_loop.cpp.
+  // Event loop: event_loop.cpp.
   void post(InboundMessage inbound);
   void handleInbound();
   void armTimer();
   void onTimer();
   void tick();
-  discovery::ZoneView surroundings() const;
+  discovery::ZoneView currentZoneView() const;
   void refreshReadiness(Clock::time_point now);
-  void on(Incoming& inbound);
+  void on(IncomingRequest& inbound);
   void on(control::RequestAbandoned const& inbound) { forwarder.onCallerLeft(Clock::now(), inbound.requestToken); }
   void on(ListRead& inbound);
   void on(control::ForwardFinished& inbound) { forwarder.onFinished(Clock::now(), inbound); }
   void on(DrainRequested& inbound);
-  void on(EndRequested& inbound);
+  void on(TerminationRequested& inbound);
   void on(FollowSettings& inbound) { settingsFollower.follow(std::move(inbound.file)); }
   void on(ReloadRequested&) { apply(settingsFollower.reload(Clock::now())); }
   void on(RequestEvent& event) { step(event); }
@@ -91,7 +94,7 @@
 
   // Callers' requests: forwarding.cpp.
   void admit(net::Request content, net::Responder respond, bool forwarded, std::optional<Ms> remainingMs);
-  void takeForwarded(Incoming& inbound);
+  void serveForwarded(IncomingRequest& inbound);
   void step(RequestEvent const& event);
   void apply(Reply const& effect);
   void apply(SendRequest const& effect);
@@ -102,28 +105,28 @@
   void countUnanswered(int change);
 
   // Calls under /limeramp: operator_calls.cpp.
-  void serveOperator(Incoming& inbound);
-  void relayCall(Incoming& inbound);
-  void runQuery(Incoming& inbound);
+  void serveOperator(IncomingRequest& inbound);
+  void forwardOperatorCall(IncomingRequest& inbound);
+  void runQuery(IncomingRequest& inbound);
 
   // Messages between processes: peer_messages.cpp.
   void receivePeerMessage(std::string const& body);
   void apply(distribution::ConfigDeliveryStep const& step);
 
-  // The state in force: configuration_in_force.cpp.
+  // Applying the delivered state: configuration_in_force.cpp.
   void putInForce();
   void replaceServices(config::Configuration const& configuration);
   void updateFleetPosition();
   void updateServers(std::string const& service);
-  void boundConnections(std::string const& address, std::size_t allowed);
+  void limitConnections(std::string const& address, std::size_t allowed);
   void applyCallerLimits();
 
-  // The platform's list: list_reader.cpp.
+  // The platform's list of servers: list_reader.cpp.
   void apply(discovery::DirectoryStep const& step);
   void readList(std::string const& page);
-  void takeList(discovery::List const& list);
+  void applyList(discovery::List const& list);
 
-  // Pages: status_pages.cpp.
+  // Status pages: status_pages.cpp.
   std::string notReadyReason(Clock::time_point now) const;
   net::Answer readinessPage() const;
   net::Answer currentConfiguration() const;
@@ -140,19 +143,19 @@
   node::PeerLink peerLink;
   dispatch::MergeWorkers workers;
   std::deque<InboundMessage> inboundMessages;
-  bool handling = false;
+  bool handlingInbound = false;
   Clock::time_point nextTick = Clock::now();
   Clock::time_point armedFor = Clock::time_point::max();
-  /// Tells this start of the process from every other.
+  /// Random number that identifies this start of the process.
   std::uint64_t boot;
   RequestManager requestManager;
-  distribution::PeerViews views;
+  distribution::PeerViews peerViews;
   distribution::ConfigDelivery delivery;
   discovery::ServerDirectory directory;
   control::OrderForwarder forwarder;
   query::QueryWorker queries;
   node::Listeners listeners;
-  net::Network::TimerId alarm = 0;
+  net::Network::TimerId timer = 0;
   std::unordered_map<std::uint64_t, net::Responder> responders;
   std::uint64_t lastRequest = 0;
   std::string fleet;
@@ -162,17 +165,17 @@
   std::string listProblem;
   Clock::time_point startedAt = Clock::now();
   bool draining = false;
-  /// The process ends at once: what comes now is refused, as nobody would wait for its answer.
-  bool ending = false;
+  /// The process is about to exit. Requests that arrive now are refused, because it would not wait for their answers.
+  bool terminating = false;
   std::string lastNotReadyReason = "starting";
-  bool callersLetIn = false;
-  bool unreadable = false;
+  bool callerListenersOpen = false;
+  bool documentUnreadable = false;
   std::uint64_t refusedStale = 0;
 
-  /// Guards `held` and `drainTimes`, which the thread that ends the process reads.
+  /// Guards `unanswered` and `drainTimes`, which the thread that calls `drain` reads.
   std::mutex unansweredMutex;
   std::condition_variable unansweredChanged;
-  /// Requests that were read and have no answer yet.
+  /// Number of admitted requests that have no answer yet.
   std::size_t unanswered = 0;
   struct DrainTimes {
     Ms graceMs;
--- a/libs/gateway/src/list_reader.cpp
+++ b/libs/gateway/src/list_reader.cpp
@@ -1,4 +1,4 @@
-// Reads the platform's list of servers, when the directory asks for it, and shares what it says.
+// Reads the platform's list of servers when the directory asks for it, and passes its rows to the directory.
 #include "gateway_server_impl.h"
 
 #include "limeramp/logging/logging.h"
@@ -6,9 +6,10 @@
 namespace limeramp::gateway {
 namespace {
 
-constexpr Ms listWaitMs{1'000};
-constexpr std::uint64_t listAttempt = 1ULL << 62;
-constexpr int overRateStatus = 429;
+constexpr Ms listTimeoutMs{1'000};
+/// Id of a list read in the HTTP client, which no request attempt or forwarded call has.
+constexpr std::uint64_t listAttemptId = 1ULL << 62;
+constexpr int tooManyRequestsStatus = 429;
 
 }  // namespace
 
@@ -27,11 +28,12 @@
 }
 
 void GatewayServer::Impl::readList(std::string const& page) {
-  client.begin(listAttempt, net::Address::parse(settings.platform).value_or(net::Address{}), adapter.listRequest(page),
-               Clock::now() + listWaitMs, [this](net::Exchange exchange) { post(ListRead{std::move(exchange)}); });
+  client.begin(listAttemptId, net::Address::parse(settings.platform).value_or(net::Address{}),
+               adapter.listRequest(page), Clock::now() + listTimeoutMs,
+               [this](net::Exchange exchange) { post(ListRead{std::move(exchange)}); });
 }
 
-void GatewayServer::Impl::takeList(discovery::List const& list) {
+void GatewayServer::Impl::applyList(discovery::List const& list) {
   if (list.dropped != droppedRows) {
     for (std::string const& dropped : list.dropped) {
       logging::raise(logging::Event::listRowDropped, {{"row", dropped}});
@@ -51,12 +53,12 @@
   if (answer && answer->status == 200) {
     absl::StatusOr<discovery::List> const list = adapter.readList(answer->body);
     if (list.ok()) {
-      takeList(*list);
+      applyList(*list);
       return;
     }
     reason = std::string(list.status().message());
   }
-  directory.listFailed(Clock::now(), answer && answer->status == overRateStatus);
+  directory.listFailed(Clock::now(), answer && answer->status == tooManyRequestsStatus);
   if (reason != listProblem) {
     listProblem = reason;
     logging::raise(logging::Event::listUnreachable, {{"platform", settings.platform}, {"reason", reason}});
--- a/libs/gateway/src/native_protocol_adapter.cpp
+++ b/libs/gateway/src/native_protocol_adapter.cpp
@@ -26,8 +26,8 @@
     return std::nullopt;
   }
   double load = 0;
-  std::from_chars_result const read = std::from_chars(text->data(), text->data() + text->size(), load);
-  if (read.ec != std::errc() || !(load >= 0) || load > 1000) {
+  std::from_chars_result const parsed = std::from_chars(text->data(), text->data() + text->size(), load);
+  if (parsed.ec != std::errc() || !(load >= 0) || load > 1000) {
     return std::nullopt;
   }
   return load;
@@ -43,10 +43,10 @@
   caller.tenant = *tenant;
   caller.host = net::plainHost(net::findHeader(request.headers, "host").value_or(""));
   if (std::optional<std::string> const text = net::findHeader(request.headers, std::string(deadlineHeader))) {
-    long context = 0;
-    char const* const last = text->data() + text->size();
-    std::from_chars_result const read = std::from_chars(text->data(), last, context);
-    if (read.ec != std::errc() || read.ptr != last || context <= 0 || context > maxDeadlineMs) {
+    long deadlineMs = 0;
+    char const* const end = text->data() + text->size();
+    std::from_chars_result const parsed = std::from_chars(text->data(), end, deadlineMs);
+    if (parsed.ec != std::errc() || parsed.ptr != end || deadlineMs <= 0 || deadlineMs > maxDeadlineMs) {
       return Refusal{RefusalReason::malformed,
                      "limeramp-deadline-ms must be a whole number from 1 to 60000",
                      Verdict::notRun,
@@ -54,7 +54,7 @@
                      "",
                      ""};
     }
-    caller.remainingMs = Ms(context);
+    caller.remainingMs = Ms(deadlineMs);
   }
   return caller;
 }
--- a/libs/gateway/src/operator_calls.cpp
+++ b/libs/gateway/src/operator_calls.cpp
@@ -1,4 +1,4 @@
-// Calls under /limeramp: operators', peers', and those of whoever watches this node.
+// Calls under /limeramp from operators, from peers and from monitoring.
 #include "gateway_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void GatewayServer::Impl::serveOperator(Incoming& inbound) {
+void GatewayServer::Impl::serveOperator(IncomingRequest& inbound) {
   std::string const& target = inbound.content.target;
   std::string const& method = inbound.content.method;
   if (control::declineAbandoned(inbound.content, inbound.respond)) {
@@ -20,11 +20,11 @@
     receivePeerMessage(inbound.content.body);
     inbound.respond({204, {}, ""});
   } else if (target == "/limeramp/carry" && method == "POST") {
-    takeForwarded(inbound);
+    serveForwarded(inbound);
   } else if (control::operatorCallOf(inbound.content) == control::OperatorCall::read) {
     inbound.respond(currentConfiguration());
   } else if (control::operatorCallOf(inbound.content) != control::OperatorCall::none) {
-    relayCall(inbound);
+    forwardOperatorCall(inbound);
   } else if (target == "/limeramp/ready" && method == "GET") {
     inbound.respond(readinessPage());
   } else if (target == "/limeramp/status" && method == "GET") {
@@ -34,25 +34,26 @@
   } else if (target == "/limeramp/query" && method == "POST") {
     runQuery(inbound);
   } else if (target == "/limeramp/drain" && method == "POST") {
-    DrainRequested context;
-    on(context);
+    DrainRequested drainRequest;
+    on(drainRequest);
     inbound.respond(control::plain(200, "{\"draining\":true}"));
   } else {
     inbound.respond(control::plain(404, "{\"reason\":\"no such page\"}"));
   }
 }
 
-void GatewayServer::Impl::relayCall(Incoming& inbound) {
+void GatewayServer::Impl::forwardOperatorCall(IncomingRequest& inbound) {
   forwarder.take(Clock::now(), inbound.arrivedAt, std::move(inbound.content), std::move(inbound.respond));
 }
 
-void GatewayServer::Impl::runQuery(Incoming& inbound) {
+void GatewayServer::Impl::runQuery(IncomingRequest& inbound) {
   net::Responder const respond = inbound.respond;
-  bool const taken = queries.ask(tables(), inbound.content.body, [respond](absl::StatusOr<std::string> const& answer) {
-    respond(answer.ok() ? control::plain(200, *answer)
-                        : control::plain(400, "{\"reason\":" + json(std::string(answer.status().message())) + "}"));
-  });
-  if (!taken) {
+  bool const accepted =
+      queries.ask(tables(), inbound.content.body, [respond](absl::StatusOr<std::string> const& answer) {
+        respond(answer.ok() ? control::plain(200, *answer)
+                            : control::plain(400, "{\"reason\":" + json(std::string(answer.status().message())) + "}"));
+      });
+  if (!accepted) {
     respond(control::plain(503, "{\"reason\":\"too many queries wait\"}"));
   }
 }
--- a/libs/gateway/src/peer_messages.cpp
+++ b/libs/gateway/src/peer_messages.cpp
@@ -1,4 +1,4 @@
-// Messages of other processes of the fleet, and the configuration that they deliver.
+// Handles messages from other processes of the fleet, among them the delivered configuration.
 #include "gateway_server_impl.h"
 
 namespace limeramp::gateway {
@@ -10,7 +10,7 @@
   }
   Clock::time_point const now = Clock::now();
   if (messages::Shuffle const* const shuffle = std::get_if<messages::Shuffle>(&received->message)) {
-    peerLink.sendAll(fleet, views.onMessage(now, received->from, received->address, *shuffle));
+    peerLink.sendAll(fleet, peerViews.onMessage(now, received->from, received->address, *shuffle));
   } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received->message)) {
     apply(delivery.onMessage(now, received->address, *poll));
   } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&received->message)) {
--- a/libs/gateway/src/request_manager.cpp
+++ b/libs/gateway/src/request_manager.cpp
@@ -9,11 +9,13 @@
 
 using Ms = std::chrono::milliseconds;
 
+/// The request and the index of the shard that an attempt belongs to.
 struct OpenAttempt {
   std::uint64_t request = 0;
   std::size_t shard = 0;
 };
 
+/// A request that was admitted and not answered, with the configuration that it is pinned to.
 struct OpenRequest {
   net::Request content;
   config::SnapshotPtr snapshot;
@@ -32,8 +34,8 @@
 }  // namespace
 
 struct RequestManager::Impl {
-  Impl(NodeIdentity const& selfIn, dispatch::DispatchOptions const& policy, ProtocolAdapter adapterIn)
-      : self(selfIn), adapter(std::move(adapterIn)), dispatcher(policy) {}
+  Impl(NodeIdentity const& selfIn, dispatch::DispatchOptions const& options, ProtocolAdapter adapterIn)
+      : self(selfIn), adapter(std::move(adapterIn)), dispatcher(options) {}
 
   NodeIdentity self;
   ProtocolAdapter adapter;
@@ -43,7 +45,7 @@
   std::unordered_map<std::uint64_t, OpenAttempt> openAttempts;
   std::unordered_map<std::uint64_t, dispatch::ShardResultPtr> parsedResults;
   std::unordered_map<std::uint64_t, net::Answer> answers;
-  std::map<std::string, std::vector<std::string>> owners;
+  std::map<std::string, std::vector<std::string>> cellOwners;
   std::vector<RequestEffect> effects;
   TimePoint now;
 
@@ -68,7 +70,7 @@
   void acceptAnswer(ExchangeFinished const& event, dispatch::AttemptFinished const& finished);
   void acceptShardResult(std::uint64_t attempt, dispatch::AttemptFinished const& finished,
                          dispatch::ShardResult shardResult);
-  SubrequestContext contextOf(OpenRequest const& entry, std::size_t shard) const;
+  SubrequestContext contextOf(OpenRequest const& openRequest, std::size_t shard) const;
 };
 
 void RequestManager::Impl::reply(std::uint64_t request, net::Answer answer) {
@@ -84,7 +86,7 @@
 void RequestManager::Impl::on(ConfigurationInForce const& event) { snapshot = event.snapshot; }
 
 void RequestManager::Impl::on(CellOwners const& event) {
-  owners[event.cell] = event.addresses;
+  cellOwners[event.cell] = event.addresses;
   dispatch::ServersUpdated servers;
   servers.service = "@" + event.cell;
   for (std::string const& address : event.addresses) {
@@ -100,14 +102,14 @@
   reply(request, adapter.writeRefusal(refusal));
 }
 
-SubrequestContext RequestManager::Impl::contextOf(OpenRequest const& entry, std::size_t shard) const {
+SubrequestContext RequestManager::Impl::contextOf(OpenRequest const& openRequest, std::size_t shard) const {
   SubrequestContext context;
-  context.request = entry.id;
-  context.service = entry.services[shard];
-  context.partition = entry.partitions.empty() ? "" : entry.partitions[shard];
-  context.version = entry.snapshot->version.text();
-  context.expectsShardResult = entry.search != nullptr;
-  context.resultSize = entry.search == nullptr ? 0 : entry.search->resultSize;
+  context.request = openRequest.id;
+  context.service = openRequest.services[shard];
+  context.partition = openRequest.partitions.empty() ? "" : openRequest.partitions[shard];
+  context.version = openRequest.snapshot->version.text();
+  context.expectsShardResult = openRequest.search != nullptr;
+  context.resultSize = openRequest.search == nullptr ? 0 : openRequest.search->resultSize;
   return context;
 }
 
@@ -117,12 +119,12 @@
     refuse(event.request, {RefusalReason::stale, "no configuration is known yet", Verdict::notRun, Ms(1000), "", ""});
     return;
   }
-  std::variant<Caller, Refusal> read = adapter.readCaller(event.content);
-  if (Refusal const* const wrong = std::get_if<Refusal>(&read)) {
-    refuse(event.request, *wrong);
+  std::variant<Caller, Refusal> callerOrRefusal = adapter.readCaller(event.content);
+  if (Refusal const* const refusal = std::get_if<Refusal>(&callerOrRefusal)) {
+    refuse(event.request, *refusal);
     return;
   }
-  Caller const& caller = std::get<Caller>(read);
+  Caller const& caller = std::get<Caller>(callerOrRefusal);
   std::string const& target = event.content.target;
   std::string_view const path = std::string_view(target).substr(0, target.find('?'));
   config::Configuration const& configuration = snapshot->configuration;
@@ -133,52 +135,52 @@
         {RefusalReason::unknownEntry, "no entry or route of this tenant has this path", Verdict::notRun, {}, "", ""});
     return;
   }
-  OpenRequest entry;
-  entry.content = event.content;
-  entry.snapshot = snapshot;
-  entry.id = caller.id;
-  if (entry.id.empty()) {
+  OpenRequest openRequest;
+  openRequest.content = event.content;
+  openRequest.snapshot = snapshot;
+  openRequest.id = caller.id;
+  if (openRequest.id.empty()) {
     char id[64];
     std::snprintf(id, sizeof id, "-%08llx-%llx", static_cast<unsigned long long>(self.boot & 0xffffffff),
                   static_cast<unsigned long long>(event.request));
-    entry.id = self.node + id;
+    openRequest.id = self.node + id;
   }
-  Ms waitMs{0};
+  Ms timeoutMs{0};
   Ms latencyTargetMs{0};
-  dispatch::RequestArrived arrive;
-  arrive.request = event.request;
-  arrive.tenant = caller.tenant;
+  dispatch::RequestArrived arrival;
+  arrival.request = event.request;
+  arrival.tenant = caller.tenant;
   if (config::Search const* const* const search = std::get_if<config::Search const*>(&found)) {
-    entry.search = *search;
-    waitMs = (*search)->deadlineMs;
+    openRequest.search = *search;
+    timeoutMs = (*search)->deadlineMs;
     latencyTargetMs = (*search)->latencyTargetMs;
-    arrive.priority = (*search)->priority;
-    arrive.kind = static_cast<std::size_t>(*search - configuration.searches.data());
+    arrival.priority = (*search)->priority;
+    arrival.kind = static_cast<std::size_t>(*search - configuration.searches.data());
     for (config::Shard const& shard : (*search)->shards) {
-      entry.services.push_back(shard.service);
-      entry.partitions.push_back(shard.partition);
+      openRequest.services.push_back(shard.service);
+      openRequest.partitions.push_back(shard.partition);
     }
-    arrive.minimum = (*search)->minimumShards;
-    arrive.maxAttempts = (*search)->maxAttempts;
-    arrive.idempotent = true;
+    arrival.minimum = (*search)->minimumShards;
+    arrival.maxAttempts = (*search)->maxAttempts;
+    arrival.idempotent = true;
   } else {
     config::Route const* const route = std::get<config::Route const*>(found);
-    waitMs = route->deadlineMs;
+    timeoutMs = route->deadlineMs;
     latencyTargetMs = route->latencyTargetMs;
-    arrive.priority = route->priority;
-    arrive.kind = configuration.searches.size() + static_cast<std::size_t>(route - configuration.routes.data());
-    entry.idempotent = route->idempotent;
-    entry.services.push_back(config::chooseService(*route, entry.id));
-    arrive.maxAttempts = route->maxAttempts;
-    arrive.idempotent = route->idempotent;
+    arrival.priority = route->priority;
+    arrival.kind = configuration.searches.size() + static_cast<std::size_t>(route - configuration.routes.data());
+    openRequest.idempotent = route->idempotent;
+    openRequest.services.push_back(config::chooseService(*route, openRequest.id));
+    arrival.maxAttempts = route->maxAttempts;
+    arrival.idempotent = route->idempotent;
   }
   if (caller.remainingMs) {
-    waitMs = std::min(waitMs, *caller.remainingMs);
+    timeoutMs = std::min(timeoutMs, *caller.remainingMs);
   }
   if (event.remainingMs) {
-    waitMs = std::min(waitMs, *event.remainingMs);
+    timeoutMs = std::min(timeoutMs, *event.remainingMs);
   }
-  entry.deadline = now + waitMs;
+  openRequest.deadline = now + timeoutMs;
   config::Cell const* const cell = configuration.cellOf(caller.tenant);
   if (cell != nullptr && !cell->nodes.contains(self.node)) {
     if (event.forwarded) {
@@ -186,40 +188,40 @@
              {RefusalReason::stale, "this node does not own the tenant", Verdict::notRun, Ms(1000), "", ""});
       return;
     }
-    entry.toCellOwner = true;
-    entry.search = nullptr;
-    entry.services = {"@" + cell->name};
-    arrive.minimum = 1;
-    arrive.maxAttempts = 2;
-    arrive.idempotent = false;
+    openRequest.toCellOwner = true;
+    openRequest.search = nullptr;
+    openRequest.services = {"@" + cell->name};
+    arrival.minimum = 1;
+    arrival.maxAttempts = 2;
+    arrival.idempotent = false;
   }
-  entry.shardResults.resize(entry.services.size());
-  arrive.services = entry.services;
-  arrive.deadline = entry.deadline;
-  arrive.latencyTarget =
-      latencyTargetMs.count() == 0 ? entry.deadline : std::min(entry.deadline, now + latencyTargetMs);
-  openRequests.emplace(event.request, std::move(entry));
-  stepDispatcher(arrive);
+  openRequest.shardResults.resize(openRequest.services.size());
+  arrival.services = openRequest.services;
+  arrival.deadline = openRequest.deadline;
+  arrival.latencyTarget =
+      latencyTargetMs.count() == 0 ? openRequest.deadline : std::min(openRequest.deadline, now + latencyTargetMs);
+  openRequests.emplace(event.request, std::move(openRequest));
+  stepDispatcher(arrival);
 }
 
 void RequestManager::Impl::apply(dispatch::SendAttempt const& send) {
-  OpenRequest const& entry = openRequests.at(send.request);
-  SendRequest out;
-  out.attempt = send.attempt;
-  out.server = send.server;
-  out.deadline = send.deadline;
-  out.content = entry.content;
-  out.remainingMs = std::chrono::duration_cast<Ms>(send.deadline - now);
-  out.toCellOwner = entry.toCellOwner;
-  if (!entry.toCellOwner) {
-    out.content.headers = net::withoutHopByHop(out.content.headers);
-    SubrequestContext context = contextOf(entry, send.shard);
+  OpenRequest const& openRequest = openRequests.at(send.request);
+  SendRequest sendRequest;
+  sendRequest.attempt = send.attempt;
+  sendRequest.server = send.server;
+  sendRequest.deadline = send.deadline;
+  sendRequest.content = openRequest.content;
+  sendRequest.remainingMs = std::chrono::duration_cast<Ms>(send.deadline - now);
+  sendRequest.toCellOwner = openRequest.toCellOwner;
+  if (!openRequest.toCellOwner) {
+    sendRequest.content.headers = net::withoutHopByHop(sendRequest.content.headers);
+    SubrequestContext context = contextOf(openRequest, send.shard);
     context.incarnation = send.incarnation;
-    context.remainingMs = std::max(Ms(1), out.remainingMs);
-    adapter.writeAsk(out.content, context);
+    context.remainingMs = std::max(Ms(1), sendRequest.remainingMs);
+    adapter.writeAsk(sendRequest.content, context);
   }
   openAttempts.emplace(send.attempt, OpenAttempt{send.request, send.shard});
-  effects.emplace_back(std::move(out));
+  effects.emplace_back(std::move(sendRequest));
 }
 
 void RequestManager::Impl::apply(dispatch::CancelAttempt const& cancel) {
@@ -228,12 +230,12 @@
 }
 
 void RequestManager::Impl::apply(dispatch::AcceptShardResult const& accepted) {
-  OpenRequest& entry = openRequests.at(accepted.request);
-  if (entry.search != nullptr) {
-    entry.shardResults[accepted.shard] = parsedResults.at(accepted.attempt);
+  OpenRequest& openRequest = openRequests.at(accepted.request);
+  if (openRequest.search != nullptr) {
+    openRequest.shardResults[accepted.shard] = parsedResults.at(accepted.attempt);
     parsedResults.erase(accepted.attempt);
   } else {
-    entry.answer = std::move(answers.at(accepted.attempt));
+    openRequest.answer = std::move(answers.at(accepted.attempt));
     answers.erase(accepted.attempt);
   }
   openAttempts.erase(accepted.attempt);
@@ -241,25 +243,25 @@
 
 void RequestManager::Impl::apply(dispatch::FinishRequest const& finish) {
   std::unordered_map<std::uint64_t, OpenRequest>::iterator const found = openRequests.find(finish.request);
-  OpenRequest& entry = found->second;
+  OpenRequest& openRequest = found->second;
   bool const answered =
       finish.outcome == dispatch::RequestOutcome::complete || finish.outcome == dispatch::RequestOutcome::partial;
-  if (answered && entry.search != nullptr) {
-    entry.missing = finish.missing;
+  if (answered && openRequest.search != nullptr) {
+    openRequest.missing = finish.missing;
     std::vector<dispatch::ShardResultPtr> shardResults;
-    for (dispatch::ShardResultPtr const& shardResult : entry.shardResults) {
+    for (dispatch::ShardResultPtr const& shardResult : openRequest.shardResults) {
       if (shardResult != nullptr) {
         shardResults.push_back(shardResult);
       }
     }
-    effects.emplace_back(MergeShardResults{finish.request, std::move(shardResults), entry.search->resultSize});
+    effects.emplace_back(MergeShardResults{finish.request, std::move(shardResults), openRequest.search->resultSize});
     return;
   }
   if (answered) {
-    net::Answer answer = std::move(*entry.answer);
-    if (!entry.toCellOwner) {
+    net::Answer answer = std::move(*openRequest.answer);
+    if (!openRequest.toCellOwner) {
       answer.headers = net::withoutHopByHop(answer.headers);
-      adapter.writeForwarded(answer, entry.id, entry.snapshot->version.text());
+      adapter.writeForwarded(answer, openRequest.id, openRequest.snapshot->version.text());
     }
     reply(finish.request, std::move(answer));
   } else {
@@ -267,7 +269,7 @@
                                : finish.reason == dispatch::FinishReason::deadlineReached ? RefusalReason::deadline
                                                                                           : RefusalReason::failed;
     refuse(finish.request, {kind, std::string(dispatch::textOf(finish.reason)), finish.verdict, finish.retryAfter,
-                            entry.id, entry.snapshot->version.text()});
+                            openRequest.id, openRequest.snapshot->version.text()});
   }
   openRequests.erase(found);
 }
@@ -277,18 +279,18 @@
   if (found == openAttempts.end()) {
     return;
   }
-  OpenRequest const& entry = openRequests.at(found->second.request);
+  OpenRequest const& openRequest = openRequests.at(found->second.request);
   net::Exchange const& exchange = event.exchange;
   dispatch::AttemptFinished finished;
   finished.attempt = event.attempt;
   finished.verdict = exchange.verdict;
   if (!exchange.answer || exchange.answer->endedByClose) {
-    // Nothing shows that an answer is whole whose only end is the end of its connection.
+    // An answer that is delimited only by the close of its connection may be truncated.
     openAttempts.erase(found);
     stepDispatcher(finished);
     return;
   }
-  if (entry.toCellOwner) {
+  if (openRequest.toCellOwner) {
     std::optional<std::string> const verdict = net::findHeader(exchange.answer->headers, "limeramp-verdict");
     finished.healthy = true;
     finished.good = true;
@@ -299,11 +301,11 @@
     acceptAnswer(event, finished);
     return;
   }
-  SubrequestContext const context = contextOf(entry, found->second.shard);
+  SubrequestContext const context = contextOf(openRequest, found->second.shard);
   ParsedAnswer parsed = adapter.readAnswer(*exchange.answer, context);
   parsed.finished.attempt = event.attempt;
   if (!context.expectsShardResult) {
-    if (parsed.finished.good && !parsed.finished.healthy && entry.idempotent &&
+    if (parsed.finished.good && !parsed.finished.healthy && openRequest.idempotent &&
         parsed.finished.verdict != retry::Verdict::notRun) {
       parsed.finished.good = false;
     }
@@ -353,9 +355,9 @@
   if (event.shardResult.ok()) {
     acceptShardResult(event.attempt, finished, *event.shardResult);
   } else {
-    OpenAttempt const position = found->second;
+    OpenAttempt const openAttempt = found->second;
     effects.emplace_back(dispatch::LogEntry{logging::Event::shardResultRejected,
-                                            openRequests.at(position.request).services[position.shard],
+                                            openRequests.at(openAttempt.request).services[openAttempt.shard],
                                             std::string(event.shardResult.status().message())});
     openAttempts.erase(found);
     stepDispatcher(finished);
@@ -367,13 +369,13 @@
   if (found == openRequests.end()) {
     return;
   }
-  OpenRequest const& entry = found->second;
+  OpenRequest const& openRequest = found->second;
   MergedResult merged;
-  merged.request = entry.id;
-  merged.version = entry.snapshot->version.text();
-  merged.services = entry.services;
-  merged.missing = entry.missing;
-  for (dispatch::ShardResultPtr const& shardResult : entry.shardResults) {
+  merged.request = openRequest.id;
+  merged.version = openRequest.snapshot->version.text();
+  merged.services = openRequest.services;
+  merged.missing = openRequest.missing;
+  for (dispatch::ShardResultPtr const& shardResult : openRequest.shardResults) {
     if (shardResult != nullptr) {
       merged.shardResults.push_back(shardResult);
     }
@@ -384,9 +386,9 @@
   openRequests.erase(found);
 }
 
-RequestManager::RequestManager(NodeIdentity const& self, dispatch::DispatchOptions const& policy,
+RequestManager::RequestManager(NodeIdentity const& self, dispatch::DispatchOptions const& options,
                                ProtocolAdapter adapter)
-    : impl_(std::make_unique<Impl>(self, policy, std::move(adapter))) {}
+    : impl_(std::make_unique<Impl>(self, options, std::move(adapter))) {}
 RequestManager::~RequestManager() = default;
 RequestManager::RequestManager(RequestManager&&) noexcept = default;
 RequestManager& RequestManager::operator=(RequestManager&&) noexcept = default;
--- a/libs/gateway/src/status_pages.cpp
+++ b/libs/gateway/src/status_pages.cpp
@@ -1,4 +1,4 @@
-// What this node says about itself: readiness, status, metrics, and the tables that queries run on.
+// The status pages of this node: readiness, status and metrics, and the tables that operators' queries run on.
 #include "gateway_server_impl.h"
 
 #include "limeramp/control/operator_api.h"
@@ -6,8 +6,8 @@
 namespace limeramp::gateway {
 namespace {
 
-/// How long after its start a node without word on a service's servers is not ready.
-constexpr Ms serversUnknownMs{5'000};
+/// How long after its start a node stays not ready while the servers of a service are unknown.
+constexpr Ms serverDiscoveryGraceMs{5'000};
 
 std::string json(std::string const& text) { return picojson::value(text).serialize(); }
 
@@ -28,7 +28,7 @@
 }
 
 template <typename Element>
-std::string listOf(std::vector<Element> const& elements, std::string (*write)(Element const&)) {
+std::string joinJson(std::vector<Element> const& elements, std::string (*write)(Element const&)) {
   std::string out;
   for (Element const& element : elements) {
     out += (out.empty() ? "" : ",") + write(element);
@@ -121,7 +121,7 @@
   if (!distribution::mayServe(status.freshness)) {
     return "configuration " + nameOf(status.freshness);
   }
-  if (unreadable) {
+  if (documentUnreadable) {
     return "configuration unreadable";
   }
   if (requestManager.snapshot() == nullptr) {
@@ -131,7 +131,7 @@
     return "zone evacuated";
   }
   for (std::string const& service : services) {
-    if (!directory.ageMs(now, service) && now - startedAt < serversUnknownMs) {
+    if (!directory.ageMs(now, service) && now - startedAt < serverDiscoveryGraceMs) {
       return "servers of " + service + " unknown";
     }
   }
@@ -171,7 +171,8 @@
       json((requestManager.snapshot() == nullptr ? config::Version{} : requestManager.snapshot()->version).text()) +
       ",\"primary_address\":" + json(delivery.primaryAddress()) + ",\"roster\":" + std::to_string(state.roster.size()) +
       ",\"requests\":" + std::to_string(requestManager.requests()) + ",\"peers\":[";
-  body += listOf(views.peers(now), peerJson) + "],\"servers\":[" + listOf(requestManager.servers(now), serverJson);
+  body +=
+      joinJson(peerViews.peers(now), peerJson) + "],\"servers\":[" + joinJson(requestManager.servers(now), serverJson);
   return control::plain(200, body + "]}");
 }
 
@@ -198,7 +199,7 @@
 
 std::vector<query::Table> GatewayServer::Impl::tables() const {
   Clock::time_point const now = Clock::now();
-  std::vector<messages::Peer> const peers = views.peers(now);
+  std::vector<messages::Peer> const peers = peerViews.peers(now);
   config::SnapshotPtr const snapshot = requestManager.snapshot();
   config::Configuration const configuration = snapshot == nullptr ? config::Configuration{} : snapshot->configuration;
   return {nodesTable(delivery.state().value_or(messages::State{}), peers, settings.node), controllersTable(peers),
--- a/tests/native_protocol_adapter_test.cpp
+++ b/tests/native_protocol_adapter_test.cpp
@@ -7,12 +7,12 @@
 using namespace limeramp;
 using retry::Verdict;
 
-TEST(NativeProtocolAdapter, TheListIsAskedForTheFollowingPage) {
-  gateway::ProtocolAdapter const own = gateway::nativeProtocolAdapter();
-  EXPECT_NE(own.listRequest("p-50").target, own.listRequest("").target);
+TEST(NativeProtocolAdapter, ListRequestNamesTheRequestedPage) {
+  gateway::ProtocolAdapter const adapter = gateway::nativeProtocolAdapter();
+  EXPECT_NE(adapter.listRequest("p-50").target, adapter.listRequest("").target);
 }
 
-TEST(NativeProtocolAdapter, AServerInAnotherLifeDidNotRunTheRequest) {
+TEST(NativeProtocolAdapter, AnswerOfAnotherIncarnationMeansNotRun) {
   gateway::SubrequestContext context;
   context.request = "a";
   context.incarnation = "i-1";
@@ -23,25 +23,25 @@
   EXPECT_EQ(parsed.finished.verdict, Verdict::notRun);
 }
 
-TEST(NativeProtocolAdapter, AnAnswerMayNameItsRequestAndTheNameIsNotPassedOn) {
-  gateway::ProtocolAdapter const own = gateway::nativeProtocolAdapter();
+TEST(NativeProtocolAdapter, RequestIdInAnAnswerIsOptionalAndNotForwarded) {
+  gateway::ProtocolAdapter const adapter = gateway::nativeProtocolAdapter();
   gateway::SubrequestContext context;
   context.request = "m01-1";
   net::Request request;
-  own.writeAsk(request, context);
+  adapter.writeAsk(request, context);
   EXPECT_EQ(net::findHeader(request.headers, std::string(request.identity.requestHeader)), "m01-1");
   EXPECT_EQ(request.identity.answerHeader, "limeramp-answers");
   EXPECT_FALSE(request.identity.required);
   net::Answer answer{200, {{"limeramp-answers", "m01-1"}}, ""};
-  own.writeForwarded(answer, "m01-1", "1.2");
+  adapter.writeForwarded(answer, "m01-1", "1.2");
   EXPECT_FALSE(net::findHeader(answer.headers, "limeramp-answers").has_value());
 }
 
-TEST(NativeProtocolAdapter, ARouteOfAHostIsFoundWithThePortAndInAnyCase) {
-  gateway::ProtocolAdapter const own = gateway::nativeProtocolAdapter();
-  std::variant<gateway::Caller, gateway::Refusal> const read =
-      own.readCaller({"GET", "/", {{"limeramp-tenant", "t"}, {"host", "Logs.example:7000"}}, "", ""});
-  EXPECT_EQ(std::get<gateway::Caller>(read).host, "logs.example");
+TEST(NativeProtocolAdapter, CallerHostHasNoPortAndIsLowerCase) {
+  gateway::ProtocolAdapter const adapter = gateway::nativeProtocolAdapter();
+  std::variant<gateway::Caller, gateway::Refusal> const callerOrRefusal =
+      adapter.readCaller({"GET", "/", {{"limeramp-tenant", "t"}, {"host", "Logs.example:7000"}}, "", ""});
+  EXPECT_EQ(std::get<gateway::Caller>(callerOrRefusal).host, "logs.example");
 }
 
 }  // namespace
--- a/tests/protocol_adapter_test.cpp
+++ b/tests/protocol_adapter_test.cpp
@@ -20,8 +20,8 @@
   Caller out;
   out.host = findHeader(request.headers, "host").value_or("");
   out.id = findHeader(request.headers, "x-id").value_or("");
-  if (std::optional<std::string> const left = findHeader(request.headers, "x-left")) {
-    out.remainingMs = Ms(std::stol(*left));
+  if (std::optional<std::string> const remaining = findHeader(request.headers, "x-left")) {
+    out.remainingMs = Ms(std::stol(*remaining));
   }
   return out;
 }
@@ -65,7 +65,8 @@
           refusal.reason};
 }
 
-ProtocolAdapter foreign() {
+/// An adapter for a protocol unlike the native one, with shard results that the adapter itself parses.
+ProtocolAdapter customAdapter() {
   ProtocolAdapter out;
   out.readCaller = readCaller;
   out.writeMerged = writeMerged;
@@ -124,11 +125,12 @@
   return out;
 }
 
+/// The RequestManager of one node with a custom adapter. Records its effects and merges results at once.
 struct Node {
   explicit Node(std::string const& name = "m01",
                 config::Configuration const& first = configurationOver({"s0", "s1"}, 1))
-      : requestManager(NodeIdentity{name, "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}, foreign()) {
-    enforce(2, first);
+      : requestManager(NodeIdentity{name, "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}, customAdapter()) {
+    applyConfiguration(2, first);
     step(PositionChanged{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
     for (std::string const service : {"s0", "s1", "s2", "r0", "r1", "w0", "w1", "none"}) {
       dispatch::ServersUpdated servers{service, {}};
@@ -149,9 +151,9 @@
   std::vector<Reply> replies;
   std::set<std::uint64_t> cancelled;
   std::map<std::uint64_t, std::uint64_t> requestOf;
-  std::uint64_t last = 0;
+  std::uint64_t lastRequest = 0;
 
-  void enforce(std::uint64_t sequence, config::Configuration const& configuration) {
+  void applyConfiguration(std::uint64_t sequence, config::Configuration const& configuration) {
     config::Snapshot snapshot;
     snapshot.version = {1, sequence};
     snapshot.configuration = configuration;
@@ -176,8 +178,8 @@
                        net::Headers headers = {}) {
     headers.emplace_back("host", host);
     headers.emplace_back("x-id", id);
-    step(RequestReceived{++last, {"GET", target, std::move(headers), "", ""}, false, std::nullopt});
-    return last;
+    step(RequestReceived{++lastRequest, {"GET", target, std::move(headers), "", ""}, false, std::nullopt});
+    return lastRequest;
   }
 
   static std::string headerOf(SendRequest const& send, std::string const& name) {
@@ -185,23 +187,24 @@
   }
 
   void answer(SendRequest const& to, int status, std::string const& body, std::string const& id = "",
-              bool unrun = false) {
+              bool notRun = false) {
     net::Headers headers{{"x-id", id.empty() ? headerOf(to, "x-id") : id}};
-    if (unrun) {
+    if (notRun) {
       headers.emplace_back("x-unrun", "1");
     }
     step(ExchangeFinished{to.attempt, {net::Answer{status, std::move(headers), body}, Verdict::ran, ""}});
   }
 
-  void lose(SendRequest const& to, Verdict verdict) {
+  void failAttempt(SendRequest const& to, Verdict verdict) {
     step(ExchangeFinished{to.attempt, {std::nullopt, verdict, "lost"}});
   }
 
-  void pass(std::chrono::nanoseconds time) {
-    now += time;
+  void advance(std::chrono::nanoseconds duration) {
+    now += duration;
     step(Tick{});
   }
 
+  /// Completes enough requests to fill the retry budgets.
   void fillBudget() {
     for (int round = 0; round < 60; ++round) {
       std::size_t const first = sent.size();
@@ -211,7 +214,7 @@
         SendRequest const to = sent[index];
         answer(to, 200, "x");
       }
-      pass(Ms(10));
+      advance(Ms(10));
     }
     sent.clear();
     replies.clear();
@@ -223,16 +226,16 @@
   return findHeader(reply.answer.headers, name).value_or("");
 }
 
-TEST(Foreign, AllPartsComeFromTheShardsOfOneVersion) {
+TEST(CustomProtocolAdapter, MergedResultsComeFromOneConfiguration) {
   Node node;
   node.fillBudget();
   node.arrive("find.example", "/find/1", "a");
   ASSERT_EQ(node.sent.size(), 2u);
-  node.enforce(3, configurationOver({"r0", "r1"}, 1));
+  node.applyConfiguration(3, configurationOver({"r0", "r1"}, 1));
   node.answer(node.sent[0], 500, "");
   node.answer(node.sent[1], 200, "one");
   for (int round = 0; round < 100 && node.sent.size() < 3; ++round) {
-    node.pass(Ms(5));
+    node.advance(Ms(5));
   }
   ASSERT_GE(node.sent.size(), 3u);
   EXPECT_EQ(Node::headerOf(node.sent[2], "x-service"), Node::headerOf(node.sent[0], "x-service"));
@@ -249,7 +252,7 @@
   EXPECT_EQ(Node::headerOf(node.sent[1], "x-service"), "r1");
 }
 
-TEST(Foreign, APartOfAnotherRequestIsNeverMerged) {
+TEST(CustomProtocolAdapter, ShardResultOfAnotherRequestIsNotMerged) {
   Node node;
   node.fillBudget();
   node.arrive("find.example", "/find/1", "a");
@@ -263,19 +266,19 @@
       node.answer(to, 200, "stray", "b");
     }
   }
-  node.pass(Ms(790));
-  node.pass(Ms(10));
-  std::vector<Reply>::const_iterator const ofA =
+  node.advance(Ms(790));
+  node.advance(Ms(10));
+  std::vector<Reply>::const_iterator const replyToA =
       std::find_if(node.replies.begin(), node.replies.end(),
                    [](Reply const& reply) { return reply.answer.body.find("own") != std::string::npos; });
-  ASSERT_NE(ofA, node.replies.end());
-  EXPECT_EQ(headerOf(*ofA, "x-missing"), "1");
+  ASSERT_NE(replyToA, node.replies.end());
+  EXPECT_EQ(headerOf(*replyToA, "x-missing"), "1");
   for (Reply const& reply : node.replies) {
     EXPECT_EQ(reply.answer.body.find("stray"), std::string::npos);
   }
 }
 
-TEST(Foreign, ASuccessNeverHasFewerPartsThanTheMinimum) {
+TEST(CustomProtocolAdapter, SuccessfulAnswerHasTheMinimumNumberOfShards) {
   std::size_t successes = 0;
   std::size_t failures = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
@@ -286,13 +289,13 @@
       node.fillBudget();
     }
     node.arrive("find.example", "/find/1", "a");
-    std::set<std::string> good;
+    std::set<std::string> answeredServices;
     for (std::size_t index = 0; index < 40; ++index) {
       if (index < node.sent.size()) {
         SendRequest const to = node.sent[index];
         switch (node.cancelled.contains(to.attempt) ? 5 : random() % 5) {
           case 0:
-            good.insert(node.replies.empty() ? Node::headerOf(to, "x-service") : "");
+            answeredServices.insert(node.replies.empty() ? Node::headerOf(to, "x-service") : "");
             node.answer(to, 200, Node::headerOf(to, "x-service"));
             break;
           case 1:
@@ -302,15 +305,15 @@
             node.answer(to, 503, "", "", true);
             break;
           case 3:
-            node.lose(to, random() % 2 == 0 ? Verdict::notRun : Verdict::mayHaveRun);
+            node.failAttempt(to, random() % 2 == 0 ? Verdict::notRun : Verdict::mayHaveRun);
             break;
           default:
             break;
         }
       }
-      node.pass(Ms(30));
+      node.advance(Ms(30));
     }
-    good.erase("");
+    answeredServices.erase("");
     ASSERT_EQ(node.replies.size(), 1u) << "seed " << seed;
     Reply const& reply = node.replies[0];
     if (reply.answer.status == 200) {
@@ -318,11 +321,11 @@
       std::string const seals = headerOf(reply, "x-seals");
       std::size_t const shardResults = static_cast<std::size_t>(std::count(seals.begin(), seals.end(), ' ')) + 1;
       ASSERT_GE(shardResults, minimum) << "seed " << seed;
-      ASSERT_EQ(shardResults, good.size()) << "seed " << seed << " " << seals;
+      ASSERT_EQ(shardResults, answeredServices.size()) << "seed " << seed << " " << seals;
       ASSERT_EQ(headerOf(reply, "x-missing"), std::to_string(3 - shardResults)) << "seed " << seed;
     } else {
       ++failures;
-      ASSERT_LT(good.size(), 3u) << "seed " << seed;
+      ASSERT_LT(answeredServices.size(), 3u) << "seed " << seed;
     }
     ASSERT_EQ(node.requestManager.requests(), 0u) << "seed " << seed;
   }
@@ -331,21 +334,21 @@
   EXPECT_GT(failures, 50u);
 }
 
-TEST(Foreign, ASplitIsChosenByTheIdAlone) {
+TEST(CustomProtocolAdapter, WeightedServiceChoiceDependsOnlyOnTheRequestId) {
   Node node("m01");
   Node other("m77");
   std::map<std::string, int> counts;
   for (int round = 0; round < 400; ++round) {
     std::string const id = "try-" + std::to_string(round);
     std::vector<std::string> chosen;
-    for (Node* const one : {&node, &other, &node}) {
-      one->sent.clear();
-      one->arrive("file.example", "/split/1", id);
-      ASSERT_EQ(one->sent.size(), 1u);
-      chosen.push_back(Node::headerOf(one->sent[0], "x-service"));
-      SendRequest const to = one->sent[0];
-      one->answer(to, 200, "x");
-      one->pass(Ms(10));
+    for (Node* const receiver : {&node, &other, &node}) {
+      receiver->sent.clear();
+      receiver->arrive("file.example", "/split/1", id);
+      ASSERT_EQ(receiver->sent.size(), 1u);
+      chosen.push_back(Node::headerOf(receiver->sent[0], "x-service"));
+      SendRequest const to = receiver->sent[0];
+      receiver->answer(to, 200, "x");
+      receiver->advance(Ms(10));
     }
     EXPECT_EQ(chosen[0], chosen[1]) << id;
     EXPECT_EQ(chosen[0], chosen[2]) << id;
@@ -357,7 +360,7 @@
   EXPECT_LT(counts["w0"], 140);
 }
 
-TEST(Foreign, AFurtherAttemptStaysWithTheServiceThatWasChosen) {
+TEST(CustomProtocolAdapter, RetryStaysWithTheChosenService) {
   Node node;
   node.fillBudget();
   for (int round = 0; round < 30; ++round) {
@@ -365,47 +368,47 @@
     node.arrive("file.example", "/split/1", "again-" + std::to_string(round));
     ASSERT_EQ(node.sent.size(), 1u);
     SendRequest const first = node.sent[0];
-    node.lose(first, Verdict::notRun);
+    node.failAttempt(first, Verdict::notRun);
     ASSERT_EQ(node.sent.size(), 2u) << round;
     SendRequest const second = node.sent[1];
     EXPECT_EQ(Node::headerOf(first, "x-service"), Node::headerOf(second, "x-service"));
     EXPECT_EQ(Node::headerOf(first, "x-id"), Node::headerOf(second, "x-id"));
     EXPECT_NE(first.server, second.server);
     node.answer(second, 200, "x");
-    node.pass(Ms(1000));
+    node.advance(Ms(1000));
   }
 }
 
-TEST(Foreign, TheDeadlineIsTheSmallerOfTheCallersAndTheRoutesAndWhatIsLeftIsHandedOn) {
-  for (std::pair<long, long> const& one :
+TEST(CustomProtocolAdapter, ShorterDeadlineAppliesAndRemainingTimeIsForwarded) {
+  for (std::pair<long, long> const& testCase :
        std::vector<std::pair<long, long>>{{200, 200}, {800, 800}, {5000, 800}, {0, 800}}) {
     Node node;
     node.fillBudget();
     net::Headers headers;
-    if (one.first > 0) {
-      headers.emplace_back("x-left", std::to_string(one.first));
+    if (testCase.first > 0) {
+      headers.emplace_back("x-left", std::to_string(testCase.first));
     }
     TimePoint const arrivedAt = node.now;
     node.arrive("file.example", "/read/1", "a", headers);
     ASSERT_EQ(node.sent.size(), 1u);
-    EXPECT_LE(node.sent[0].deadline, arrivedAt + Ms(one.second));
-    EXPECT_GT(node.sent[0].deadline, arrivedAt + Ms(one.second * 8 / 10));
-    long const left = std::stol(Node::headerOf(node.sent[0], "x-left"));
-    EXPECT_LE(left, one.second);
-    EXPECT_GT(left, one.second * 8 / 10);
+    EXPECT_LE(node.sent[0].deadline, arrivedAt + Ms(testCase.second));
+    EXPECT_GT(node.sent[0].deadline, arrivedAt + Ms(testCase.second * 8 / 10));
+    long const remaining = std::stol(Node::headerOf(node.sent[0], "x-left"));
+    EXPECT_LE(remaining, testCase.second);
+    EXPECT_GT(remaining, testCase.second * 8 / 10);
     node.now += Ms(50);
     SendRequest const first = node.sent[0];
-    node.lose(first, Verdict::notRun);
+    node.failAttempt(first, Verdict::notRun);
     ASSERT_EQ(node.sent.size(), 2u);
-    EXPECT_LE(std::stol(Node::headerOf(node.sent[1], "x-left")), left - 50);
+    EXPECT_LE(std::stol(Node::headerOf(node.sent[1], "x-left")), remaining - 50);
     EXPECT_EQ(node.sent[1].deadline, node.sent[0].deadline);
-    node.pass(arrivedAt + Ms(one.second) - node.now);
-    ASSERT_EQ(node.replies.size(), 1u) << one.first;
+    node.advance(arrivedAt + Ms(testCase.second) - node.now);
+    ASSERT_EQ(node.replies.size(), 1u) << testCase.first;
     EXPECT_NE(node.replies[0].answer.status, 200);
   }
 }
 
-TEST(Foreign, EachAttemptNamesTheLifeOfItsServer) {
+TEST(CustomProtocolAdapter, AttemptNamesTheIncarnationOfItsServer) {
   Node node;
   node.arrive("file.example", "/write/1", "a");
   ASSERT_EQ(node.sent.size(), 1u);
@@ -413,83 +416,83 @@
             "life-" + node.sent[0].server.substr(node.sent[0].server.find(':') + 1));
 }
 
-TEST(Foreign, WhatMayNotBeRepeatedIsSentAgainOnlyOnProofThatItDidNotRun) {
-  std::size_t again = 0;
-  std::size_t promisedBallot = 0;
+TEST(CustomProtocolAdapter, NonIdempotentRequestIsResentOnlyIfItProvablyDidNotRun) {
+  std::size_t resent = 0;
+  std::size_t saidNotRun = 0;
   std::size_t outcomeUnknown = 0;
   for (unsigned seed = 1; seed <= 400; ++seed) {
     std::mt19937 random(seed);
     Node node;
     node.fillBudget();
     std::map<std::string, std::vector<std::uint64_t>> attempts;
-    std::map<std::uint64_t, bool> provedUnrun;
+    std::map<std::uint64_t, bool> provenNotRun;
     std::map<std::uint64_t, std::string> idOf;
-    std::size_t seen = 0;
-    std::size_t told = 0;
+    std::size_t checkedSends = 0;
+    std::size_t checkedReplies = 0;
     for (int round = 0; round < 60; ++round) {
       if (round < 8) {
         std::string const id = "try-" + std::to_string(round);
         idOf[node.arrive("file.example", "/write/1", id)] = id;
       }
-      for (; seen < node.sent.size(); ++seen) {
-        SendRequest const to = node.sent[seen];
+      for (; checkedSends < node.sent.size(); ++checkedSends) {
+        SendRequest const to = node.sent[checkedSends];
         std::string const id = Node::headerOf(to, "x-id");
         for (std::uint64_t const earlier : attempts[id]) {
-          ASSERT_TRUE(provedUnrun[earlier]) << "seed " << seed << " " << id;
-          ++again;
+          ASSERT_TRUE(provenNotRun[earlier]) << "seed " << seed << " " << id;
+          ++resent;
         }
         attempts[id].push_back(to.attempt);
         ASSERT_LE(attempts[id].size(), 8u) << "seed " << seed;
       }
-      for (; told < node.replies.size(); ++told) {
-        Reply const& reply = node.replies[told];
+      for (; checkedReplies < node.replies.size(); ++checkedReplies) {
+        Reply const& reply = node.replies[checkedReplies];
         std::string const id = idOf[reply.request];
-        bool const promise = headerOf(reply, "x-verdict") == "not_run";
-        promisedBallot += promise ? 1 : 0;
+        bool const refusedAsNotRun = headerOf(reply, "x-verdict") == "not_run";
+        saidNotRun += refusedAsNotRun ? 1 : 0;
         for (std::uint64_t const attempt : attempts[id]) {
-          ASSERT_TRUE(!promise || provedUnrun[attempt]) << "seed " << seed << " " << id;
-          outcomeUnknown += promise || provedUnrun[attempt] ? 0 : 1;
+          ASSERT_TRUE(!refusedAsNotRun || provenNotRun[attempt]) << "seed " << seed << " " << id;
+          outcomeUnknown += refusedAsNotRun || provenNotRun[attempt] ? 0 : 1;
         }
       }
       if (!node.sent.empty()) {
         SendRequest const to = node.sent[random() % node.sent.size()];
-        if (!provedUnrun.contains(to.attempt) && !node.cancelled.contains(to.attempt)) {
+        if (!provenNotRun.contains(to.attempt) && !node.cancelled.contains(to.attempt)) {
           std::uint32_t const kind = random() % 6;
-          provedUnrun[to.attempt] = kind < 3;
+          provenNotRun[to.attempt] = kind < 3;
           if (kind < 2) {
             node.answer(to, 503, "", "", true);
           } else if (kind == 2) {
-            node.lose(to, Verdict::notRun);
+            node.failAttempt(to, Verdict::notRun);
           } else if (kind == 3) {
-            node.lose(to, Verdict::mayHaveRun);
+            node.failAttempt(to, Verdict::mayHaveRun);
           } else {
             node.answer(to, kind == 4 ? 200 : 500, "x");
           }
         }
       }
-      node.pass(Ms(random() % 40));
+      node.advance(Ms(random() % 40));
     }
   }
-  std::printf("seeds 1 to 400: %zu sent again on proof, %zu promises, %zu left in doubt\n", again, promisedBallot,
+  std::printf("seeds 1 to 400: %zu resent, %zu refused as not run, %zu with unknown outcome\n", resent, saidNotRun,
               outcomeUnknown);
-  EXPECT_GT(again, 100u);
-  EXPECT_GT(promisedBallot, 20u);
+  EXPECT_GT(resent, 100u);
+  EXPECT_GT(saidNotRun, 20u);
   EXPECT_GT(outcomeUnknown, 100u);
 }
 
-TEST(Foreign, WhatMayBeRepeatedIsAskedElsewhereAfterAFailure) {
+TEST(CustomProtocolAdapter, IdempotentRequestIsRetriedOnAnotherServer) {
   for (int kind = 0; kind < 3; ++kind) {
     Node node;
     node.fillBudget();
     node.arrive("file.example", "/read/1", "a");
     SendRequest const first = node.sent.at(0);
     if (kind == 0) {
-      node.lose(first, Verdict::mayHaveRun);
+      node.failAttempt(first, Verdict::mayHaveRun);
     } else {
       node.answer(first, kind == 1 ? 500 : 503, "", "", kind == 2);
     }
     for (int round = 0; round < 60 && node.sent.size() < 2; ++round) {
-      node.pass(Ms(5));
+      node.advance(Ms(5));
     }
     ASSERT_EQ(node.sent.size(), 2u) << kind;
     EXPECT_NE(node.sent[1].server, first.server);
@@ -500,7 +503,7 @@
   }
 }
 
-TEST(Foreign, AServersFailureReachesTheCallerOfWhatMayNotBeRepeated) {
+TEST(CustomProtocolAdapter, ServerErrorOfNonIdempotentRequestReachesTheCaller) {
   Node node;
   node.fillBudget();
   node.arrive("file.example", "/write/1", "a");
--- a/tests/request_manager_test.cpp
+++ b/tests/request_manager_test.cpp
@@ -26,15 +26,17 @@
   return std::make_shared<config::Snapshot const>(snapshot);
 }
 
-struct GatewayServer {
+/// Drives a RequestManager by hand: records its sends, replies and cancellations, and parses and merges results at
+/// once.
+struct ManagerHarness {
   RequestManager requestManager{NodeIdentity{"m01", "127.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{}};
   TimePoint now{std::chrono::hours(1)};
   std::vector<SendRequest> sent;
   std::vector<Reply> replies;
   std::vector<CancelRequest> cancelled;
-  std::uint64_t last = 0;
+  std::uint64_t lastRequest = 0;
 
-  GatewayServer() {
+  ManagerHarness() {
     step(ConfigurationInForce{snapshotOf(document, 2)});
     for (std::string const service : {"p0", "p1", "logs"}) {
       dispatch::ServersUpdated servers{service, {}};
@@ -55,9 +57,9 @@
         replies.push_back(*reply);
       } else if (CancelRequest const* const cancel = std::get_if<CancelRequest>(&effect)) {
         cancelled.push_back(*cancel);
-      } else if (ParseShardResult const* const grind = std::get_if<ParseShardResult>(&effect)) {
+      } else if (ParseShardResult const* const parse = std::get_if<ParseShardResult>(&effect)) {
         step(ShardResultParsed{
-            grind->attempt, dispatch::parseShardResult(grind->body, grind->expected, grind->resultSize), grind->load});
+            parse->attempt, dispatch::parseShardResult(parse->body, parse->expected, parse->resultSize), parse->load});
       } else if (MergeShardResults const* const merge = std::get_if<MergeShardResults>(&effect)) {
         step(MergeFinished{merge->request, dispatch::mergeShardResults(merge->shardResults, merge->resultSize)});
       }
@@ -66,7 +68,7 @@
   void arrive(std::string const& target, net::Headers headers = {{"limeramp-tenant", "t"}}, bool forwarded = false,
               std::string const& body = "") {
     step(RequestReceived{
-        ++last, {body.empty() ? "GET" : "POST", target, std::move(headers), body, ""}, forwarded, std::nullopt});
+        ++lastRequest, {body.empty() ? "GET" : "POST", target, std::move(headers), body, ""}, forwarded, std::nullopt});
   }
   void answer(SendRequest const& to, int status, std::string const& body) {
     step(ExchangeFinished{
@@ -81,8 +83,8 @@
   }
 };
 
-TEST(Arrival, MalformedRequestsAreRefusedAndReachNoServer) {
-  std::vector<std::pair<net::Headers, int>> const cases{
+TEST(RequestAdmission, MalformedRequestsAreRefusedAndReachNoServer) {
+  std::vector<std::pair<net::Headers, int>> const testCases{
       {{}, 400},
       {{{"limeramp-tenant", "nobody"}}, 404},
       {{{"limeramp-tenant", "t"}, {"limeramp-deadline-ms", "0"}}, 400},
@@ -90,28 +92,28 @@
       {{{"limeramp-tenant", "t"}, {"limeramp-deadline-ms", "soon"}}, 400},
       {{{"limeramp-tenant", "t"}, {"limeramp-deadline-ms", "12x"}}, 400},
       {{{"limeramp-tenant", "t"}, {"limeramp-deadline-ms", "99999999"}}, 400}};
-  for (std::pair<net::Headers, int> const& one : cases) {
-    GatewayServer front;
-    front.arrive("/logs/1", one.first);
-    ASSERT_EQ(front.replies.size(), 1u);
-    EXPECT_EQ(front.replies[0].answer.status, one.second);
-    EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-verdict"), "not_run");
-    EXPECT_TRUE(front.sent.empty());
+  for (std::pair<net::Headers, int> const& testCase : testCases) {
+    ManagerHarness harness;
+    harness.arrive("/logs/1", testCase.first);
+    ASSERT_EQ(harness.replies.size(), 1u);
+    EXPECT_EQ(harness.replies[0].answer.status, testCase.second);
+    EXPECT_EQ(net::findHeader(harness.replies[0].answer.headers, "limeramp-verdict"), "not_run");
+    EXPECT_TRUE(harness.sent.empty());
   }
 }
 
-TEST(Forwarding, KeepsTheRequestAndTheServersAnswerAndDropsHopByHopHeaders) {
-  GatewayServer front;
-  front.arrive("/logs/1?a=%20b&c",
-               {{"Limeramp-Tenant", "t"},
-                {"connection", "close, x-hop"},
-                {"x-hop", "1"},
-                {"x-keep", "2"},
-                {"limeramp-request", "forged"},
-                {"limeramp-deadline-ms", "700"}},
-               false, "body");
-  ASSERT_EQ(front.sent.size(), 1u);
-  net::Request const& content = front.sent[0].content;
+TEST(RouteForwarding, RequestAndAnswerPassUnchangedExceptHopByHopHeaders) {
+  ManagerHarness harness;
+  harness.arrive("/logs/1?a=%20b&c",
+                 {{"Limeramp-Tenant", "t"},
+                  {"connection", "close, x-hop"},
+                  {"x-hop", "1"},
+                  {"x-keep", "2"},
+                  {"limeramp-request", "forged"},
+                  {"limeramp-deadline-ms", "700"}},
+                 false, "body");
+  ASSERT_EQ(harness.sent.size(), 1u);
+  net::Request const& content = harness.sent[0].content;
   EXPECT_EQ(content.method, "POST");
   EXPECT_EQ(content.target, "/logs/1?a=%20b&c");
   EXPECT_EQ(content.body, "body");
@@ -124,108 +126,108 @@
                 [](std::pair<std::string, std::string> const& header) { return header.first == "limeramp-request"; }),
             1);
   EXPECT_NE(net::findHeader(content.headers, "limeramp-request"), "forged");
-  front.answer(front.sent[0], 503, "busy");
-  ASSERT_EQ(front.replies.size(), 1u);
-  EXPECT_EQ(front.replies[0].answer.status, 503);
-  EXPECT_EQ(front.replies[0].answer.body, "busy");
-  EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-verdict"), "ran");
-  EXPECT_EQ(front.sent.size(), 1u);
+  harness.answer(harness.sent[0], 503, "busy");
+  ASSERT_EQ(harness.replies.size(), 1u);
+  EXPECT_EQ(harness.replies[0].answer.status, 503);
+  EXPECT_EQ(harness.replies[0].answer.body, "busy");
+  EXPECT_EQ(net::findHeader(harness.replies[0].answer.headers, "limeramp-verdict"), "ran");
+  EXPECT_EQ(harness.sent.size(), 1u);
 }
 
-TEST(Pinning, ARequestKeepsItsConfigurationAndRefusesPartsOfAnother) {
-  GatewayServer front;
-  front.step(PositionChanged{dispatch::FleetPosition{1, 0, 3}});
+TEST(ConfigurationPinning, RequestRejectsShardResultsOfAnotherConfiguration) {
+  ManagerHarness harness;
+  harness.step(PositionChanged{dispatch::FleetPosition{1, 0, 3}});
   for (std::size_t round = 0; round < 6; ++round) {
-    front.arrive("/packages");
-    front.shardResult(front.sent[round * 2], "c1", "a");
-    front.shardResult(front.sent[round * 2 + 1], "c1", "a");
+    harness.arrive("/packages");
+    harness.shardResult(harness.sent[round * 2], "c1", "a");
+    harness.shardResult(harness.sent[round * 2 + 1], "c1", "a");
   }
-  front.sent.clear();
-  front.replies.clear();
-  front.arrive("/packages");
-  ASSERT_EQ(front.sent.size(), 2u);
-  std::string recut = document;
-  for (std::size_t at = recut.find("c1"); at != std::string::npos; at = recut.find("c1", at + 1)) {
-    recut.replace(at, 2, "c2");
+  harness.sent.clear();
+  harness.replies.clear();
+  harness.arrive("/packages");
+  ASSERT_EQ(harness.sent.size(), 2u);
+  std::string otherPartition = document;
+  for (std::size_t at = otherPartition.find("c1"); at != std::string::npos; at = otherPartition.find("c1", at + 1)) {
+    otherPartition.replace(at, 2, "c2");
   }
-  front.step(ConfigurationInForce{snapshotOf(recut, 3)});
-  front.shardResult(front.sent[0], "c2", "z");
-  front.shardResult(front.sent[1], "c1", "a");
-  ASSERT_GE(front.sent.size(), 3u);
-  EXPECT_EQ(net::findHeader(front.sent[2].content.headers, "limeramp-version"), "1.2");
-  front.shardResult(front.sent[2], "c1", "b");
-  ASSERT_EQ(front.replies.size(), 1u);
-  EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-version"), "1.2");
-  EXPECT_NE(front.replies[0].answer.body.find(R"("records":["b","a"])"), std::string::npos);
-  EXPECT_EQ(front.replies[0].answer.body.find("c2"), std::string::npos);
-  front.arrive("/packages");
-  EXPECT_EQ(net::findHeader(front.sent.back().content.headers, "limeramp-version"), "1.3");
+  harness.step(ConfigurationInForce{snapshotOf(otherPartition, 3)});
+  harness.shardResult(harness.sent[0], "c2", "z");
+  harness.shardResult(harness.sent[1], "c1", "a");
+  ASSERT_GE(harness.sent.size(), 3u);
+  EXPECT_EQ(net::findHeader(harness.sent[2].content.headers, "limeramp-version"), "1.2");
+  harness.shardResult(harness.sent[2], "c1", "b");
+  ASSERT_EQ(harness.replies.size(), 1u);
+  EXPECT_EQ(net::findHeader(harness.replies[0].answer.headers, "limeramp-version"), "1.2");
+  EXPECT_NE(harness.replies[0].answer.body.find(R"("records":["b","a"])"), std::string::npos);
+  EXPECT_EQ(harness.replies[0].answer.body.find("c2"), std::string::npos);
+  harness.arrive("/packages");
+  EXPECT_EQ(net::findHeader(harness.sent.back().content.headers, "limeramp-version"), "1.3");
 }
 
-TEST(Search, AFailureIsNeverDressedAsAPart) {
-  GatewayServer front;
-  front.arrive("/packages");
-  front.answer(front.sent[0], 500, "{}");
-  front.answer(front.sent[1], 200, "not json");
-  while (front.replies.empty() && front.sent.size() < 8) {
-    std::size_t const before = front.sent.size();
-    front.answer(front.sent.back(), 204, "");
-    if (front.sent.size() == before) {
-      front.now += Ms(100);
-      front.step(Tick{});
+TEST(SearchRequest, FailedAttemptsAreNotMergedAsShardResults) {
+  ManagerHarness harness;
+  harness.arrive("/packages");
+  harness.answer(harness.sent[0], 500, "{}");
+  harness.answer(harness.sent[1], 200, "not json");
+  while (harness.replies.empty() && harness.sent.size() < 8) {
+    std::size_t const before = harness.sent.size();
+    harness.answer(harness.sent.back(), 204, "");
+    if (harness.sent.size() == before) {
+      harness.now += Ms(100);
+      harness.step(Tick{});
     }
   }
-  front.now += Ms(600);
-  front.step(Tick{});
-  ASSERT_EQ(front.replies.size(), 1u);
-  EXPECT_GE(front.replies[0].answer.status, 500);
-  EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-verdict"), "may_have_run");
+  harness.now += Ms(600);
+  harness.step(Tick{});
+  ASSERT_EQ(harness.replies.size(), 1u);
+  EXPECT_GE(harness.replies[0].answer.status, 500);
+  EXPECT_EQ(net::findHeader(harness.replies[0].answer.headers, "limeramp-verdict"), "may_have_run");
 }
 
-TEST(Search, AFailingStatusWithAWholePartIsStillAFailure) {
-  GatewayServer front;
-  front.arrive("/packages");
-  for (std::size_t index = 0; index < front.sent.size() && index < 8; ++index) {
-    SendRequest const to = front.sent[index];
-    front.shardResult(to, "c1", "spoilt", 500);
+TEST(SearchRequest, ValidShardResultWithErrorStatusIsRejected) {
+  ManagerHarness harness;
+  harness.arrive("/packages");
+  for (std::size_t index = 0; index < harness.sent.size() && index < 8; ++index) {
+    SendRequest const to = harness.sent[index];
+    harness.shardResult(to, "c1", "spoilt", 500);
   }
-  front.now += Ms(600);
-  front.step(Tick{});
-  ASSERT_EQ(front.replies.size(), 1u);
-  EXPECT_GE(front.replies[0].answer.status, 500);
-  EXPECT_EQ(front.replies[0].answer.body.find("spoilt"), std::string::npos);
+  harness.now += Ms(600);
+  harness.step(Tick{});
+  ASSERT_EQ(harness.replies.size(), 1u);
+  EXPECT_GE(harness.replies[0].answer.status, 500);
+  EXPECT_EQ(harness.replies[0].answer.body.find("spoilt"), std::string::npos);
 }
 
-TEST(Cells, ANodeOutsidePassesOnceAndAnOwnerNever) {
-  GatewayServer front;
-  front.step(CellOwners{"north", {"127.0.0.7:7000", "127.0.0.6:7000"}});
+TEST(CellForwarding, RequestIsResentOnlyIfNotRunAndForwardedOnlyOnce) {
+  ManagerHarness harness;
+  harness.step(CellOwners{"north", {"127.0.0.7:7000", "127.0.0.6:7000"}});
   net::Headers const far{{"limeramp-tenant", "far"}};
-  front.arrive("/x", far);
-  ASSERT_EQ(front.sent.size(), 1u);
-  EXPECT_TRUE(front.sent[0].toCellOwner);
-  front.step(ExchangeFinished{front.sent[0].attempt, {std::nullopt, retry::Verdict::mayHaveRun, "broken"}});
-  ASSERT_EQ(front.replies.size(), 1u);
-  EXPECT_EQ(net::findHeader(front.replies[0].answer.headers, "limeramp-verdict"), "may_have_run");
-  EXPECT_EQ(front.sent.size(), 1u);
-  front.arrive("/x", far);
-  front.step(ExchangeFinished{front.sent[1].attempt, {std::nullopt, retry::Verdict::notRun, "refused"}});
-  EXPECT_EQ(front.sent.size(), 3u);
-  front.arrive("/x", far, true);
-  EXPECT_EQ(front.sent.size(), 3u);
-  EXPECT_EQ(net::findHeader(front.replies.back().answer.headers, "limeramp-verdict"), "not_run");
+  harness.arrive("/x", far);
+  ASSERT_EQ(harness.sent.size(), 1u);
+  EXPECT_TRUE(harness.sent[0].toCellOwner);
+  harness.step(ExchangeFinished{harness.sent[0].attempt, {std::nullopt, retry::Verdict::mayHaveRun, "broken"}});
+  ASSERT_EQ(harness.replies.size(), 1u);
+  EXPECT_EQ(net::findHeader(harness.replies[0].answer.headers, "limeramp-verdict"), "may_have_run");
+  EXPECT_EQ(harness.sent.size(), 1u);
+  harness.arrive("/x", far);
+  harness.step(ExchangeFinished{harness.sent[1].attempt, {std::nullopt, retry::Verdict::notRun, "refused"}});
+  EXPECT_EQ(harness.sent.size(), 3u);
+  harness.arrive("/x", far, true);
+  EXPECT_EQ(harness.sent.size(), 3u);
+  EXPECT_EQ(net::findHeader(harness.replies.back().answer.headers, "limeramp-verdict"), "not_run");
 }
 
-TEST(Late, AnAnswerOfAnEndedRequestGoesNowhere) {
-  GatewayServer front;
-  front.arrive("/logs/1", {{"limeramp-tenant", "t"}, {"limeramp-deadline-ms", "100"}});
-  front.now += Ms(100);
-  front.step(Tick{});
-  ASSERT_EQ(front.replies.size(), 1u);
-  EXPECT_EQ(front.replies[0].answer.status, 504);
-  EXPECT_EQ(front.cancelled.size(), 1u);
-  front.answer(front.sent[0], 200, "late");
-  EXPECT_EQ(front.replies.size(), 1u);
-  EXPECT_EQ(front.requestManager.requests(), 0u);
+TEST(RequestDeadline, AnswerAfterTheDeadlineIsDiscarded) {
+  ManagerHarness harness;
+  harness.arrive("/logs/1", {{"limeramp-tenant", "t"}, {"limeramp-deadline-ms", "100"}});
+  harness.now += Ms(100);
+  harness.step(Tick{});
+  ASSERT_EQ(harness.replies.size(), 1u);
+  EXPECT_EQ(harness.replies[0].answer.status, 504);
+  EXPECT_EQ(harness.cancelled.size(), 1u);
+  harness.answer(harness.sent[0], 200, "late");
+  EXPECT_EQ(harness.replies.size(), 1u);
+  EXPECT_EQ(harness.requestManager.requests(), 0u);
 }
 
 }  // namespace
--- a/tests/resend_adversary_test.cpp
+++ b/tests/resend_adversary_test.cpp
@@ -38,10 +38,10 @@
          "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// The whole path of a request: server, request plane, dispatch, client.
+// The request path of a gateway: HTTP server, RequestManager with its Dispatcher, HTTP client.
 
-constexpr Ms requestWaitMs{300};
-constexpr std::size_t serversOfAService = 4;
+constexpr Ms requestTimeoutMs{300};
+constexpr std::size_t serversPerService = 4;
 
 gateway::ParsedAnswer readAnswer(net::Answer const& answer, gateway::SubrequestContext const& context) {
   gateway::ParsedAnswer out;
@@ -69,7 +69,7 @@
     gateway::Caller caller;
     caller.host = "h";
     caller.id = findHeader(request.headers, "x-id").value_or("");
-    caller.remainingMs = requestWaitMs;
+    caller.remainingMs = requestTimeoutMs;
     return std::variant<gateway::Caller, gateway::Refusal>(caller);
   };
   out.writeMerged = [](gateway::MergedResult const& merged) {
@@ -102,7 +102,7 @@
   search.shards = {{"s0", ""}, {"s1", ""}};
   search.minimumShards = 1;
   search.maxAttempts = 3;
-  search.deadlineMs = requestWaitMs;
+  search.deadlineMs = requestTimeoutMs;
   out.searches.push_back(search);
   for (bool const idempotent : {false, true}) {
     config::Route route;
@@ -112,7 +112,7 @@
     route.choices = {{"w0", 1}};
     route.maxAttempts = 3;
     route.idempotent = idempotent;
-    route.deadlineMs = requestWaitMs;
+    route.deadlineMs = requestTimeoutMs;
     out.routes.push_back(route);
   }
   for (std::string const service : {"s0", "s1", "w0"}) {
@@ -121,42 +121,42 @@
   return out;
 }
 
-/// A server of one service whose answers break in a drawn way, and whose address goes to another service's server
-/// once it has read so many requests.
+/// A server of one service whose answers fail in a pseudo-random way. After a number of requests its address belongs to
+/// a server of another service.
 class FaultyServer {
  public:
   FaultyServer(std::string const& service, std::size_t number, std::uint64_t seed)
       : service_(service),
-        life_("life-" + service + std::to_string(number)),
-        seed_(mix(life_, seed)),
-        goesAfter_(number == 0 ? 150 : SIZE_MAX),
-        server_("x-id", [this](SeenRequest const& seen) { return react(seen); }) {}
+        incarnation_("life-" + service + std::to_string(number)),
+        seed_(mix(incarnation_, seed)),
+        reassignedAfter_(number == 0 ? 150 : SIZE_MAX),
+        server_("x-id", [this](SeenRequest const& seen) { return reactionTo(seen); }) {}
 
-  dispatch::ServerEndpoint row() const {
+  dispatch::ServerEndpoint endpoint() const {
     dispatch::ServerEndpoint out;
     out.address = server_.address().text();
     out.zone = "z1";
     out.capacity = 1e6;
-    out.incarnation = life_;
+    out.incarnation = incarnation_;
     return out;
   }
 
-  StandInServer& stub() { return server_; }
+  StandInServer& standIn() { return server_; }
 
  private:
-  Reaction react(SeenRequest const& seen) {
+  Reaction reactionTo(SeenRequest const& seen) {
     std::string const id = seen.header("x-id");
-    std::string const named = "x-id: " + id + "\r\n";
+    std::string const idHeaderLine = "x-id: " + id + "\r\n";
     std::string const stray = answerOf(200, "x-id: stray\r\n", "stray");
-    bool const otherService = ++requests_ > goesAfter_;
+    bool const otherService = ++requests_ > reassignedAfter_;
     Reaction out;
     if (otherService && seen.header("x-life") != "life-of-another-service") {
-      out.bytes = answerOf(421, named, "");
+      out.bytes = answerOf(421, idHeaderLine, "");
       out.runs = seen.header("x-life").empty();
       return out;
     }
     std::uint64_t const draw = mix(id, seed_);
-    out.bytes = answerOf(200, named, bodyOf(id, draw / 100 % 3000));
+    out.bytes = answerOf(200, idHeaderLine, bodyOf(id, draw / 100 % 3000));
     std::size_t const at = draw / 100 % out.bytes.size();
     switch (draw % 40) {
       case 0:
@@ -187,14 +187,14 @@
         break;
       case 7:
       case 8:
-        out.bytes = answerOf(503, named + "x-unrun: 1\r\n", "");
+        out.bytes = answerOf(503, idHeaderLine + "x-unrun: 1\r\n", "");
         out.runs = false;
         break;
       case 9:
-        out.bytes = answerOf(500, named, "");
+        out.bytes = answerOf(500, idHeaderLine, "");
         break;
       case 10:
-        out.bytes = "HTTP/1.1 200 OK\r\n" + named + "\r\n" + bodyOf(id, 50).substr(0, at % 50);
+        out.bytes = "HTTP/1.1 200 OK\r\n" + idHeaderLine + "\r\n" + bodyOf(id, 50).substr(0, at % 50);
         out.ending = Ending::closes;
         break;
       case 11:
@@ -214,26 +214,26 @@
   }
 
   std::string service_;
-  std::string life_;
+  std::string incarnation_;
   std::uint64_t seed_;
-  std::size_t goesAfter_;
+  std::size_t reassignedAfter_;
   std::size_t requests_ = 0;
   StandInServer server_;
 };
 
-/// A gateway without its control side: callers' HttpServer, request plane, HttpClient, on one network.
-class Path {
+/// A gateway without control plane: HttpServer for callers, RequestManager and HttpClient on one network thread.
+class GatewayUnderTest {
  public:
-  explicit Path(std::vector<std::pair<std::string, dispatch::ServersUpdated>> const& tables)
+  explicit GatewayUnderTest(std::vector<std::pair<std::string, dispatch::ServersUpdated>> const& tables)
       : requestManager_(gateway::NodeIdentity{"m01", "127.0.0.1:1", "z1", 5}, dispatch::DispatchOptions{}, adapter()),
         client_(network_, {}) {
     std::string error;
     server_ = net::HttpServer::listen(
         network_, {"127.0.0.1", 0}, {},
         [this](net::Request request, net::Responder respond) {
-          std::uint64_t const number = ++last_;
+          std::uint64_t const number = ++lastRequest_;
           responders_.emplace(number, std::move(respond));
-          stepDispatcher(gateway::RequestReceived{number, std::move(request), false, std::nullopt});
+          step(gateway::RequestReceived{number, std::move(request), false, std::nullopt});
         },
         error);
     std::promise<void> ready;
@@ -241,108 +241,108 @@
       config::Snapshot snapshot;
       snapshot.version = {1, 2};
       snapshot.configuration = configuration();
-      stepDispatcher(gateway::ConfigurationInForce{std::make_shared<config::Snapshot const>(snapshot)});
-      stepDispatcher(gateway::PositionChanged{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
+      step(gateway::ConfigurationInForce{std::make_shared<config::Snapshot const>(snapshot)});
+      step(gateway::PositionChanged{dispatch::FleetPosition{1, 0, 30, 0.2, "z1"}});
       for (std::pair<std::string, dispatch::ServersUpdated> const& table : tables) {
-        stepDispatcher(gateway::EndpointsChanged{table.second});
+        step(gateway::EndpointsChanged{table.second});
       }
       ready.set_value();
     });
     ready.get_future().wait();
   }
-  ~Path() { network_.stop(); }
+  ~GatewayUnderTest() { network_.stop(); }
 
   net::Address address() const { return server_->address(); }
 
  private:
-  void stepDispatcher(gateway::RequestEvent const& event) {
+  void step(gateway::RequestEvent const& event) {
     for (gateway::RequestEffect const& effect : requestManager_.step(Clock::now(), event)) {
-      std::visit([this](auto const& concrete) { carry(concrete); }, effect);
+      std::visit([this](auto const& concrete) { apply(concrete); }, effect);
     }
-    arm();
+    armTimer();
   }
 
-  void arm() {
+  void armTimer() {
     std::optional<TimePoint> const wake = requestManager_.nextWake(Clock::now());
     if (wake && *wake < armedFor_) {
-      network_.cancel(alarm_);
+      network_.cancel(timer_);
       armedFor_ = *wake;
-      alarm_ = network_.at(*wake, [this] {
+      timer_ = network_.at(*wake, [this] {
         armedFor_ = TimePoint::max();
-        stepDispatcher(gateway::Tick{});
+        step(gateway::Tick{});
       });
     }
   }
 
-  void carry(gateway::Reply const& reply) {
+  void apply(gateway::Reply const& reply) {
     responders_.at(reply.request)(reply.answer);
     responders_.erase(reply.request);
   }
-  void carry(gateway::SendRequest const& send) {
+  void apply(gateway::SendRequest const& send) {
     std::uint64_t const attempt = send.attempt;
     client_.begin(attempt, *net::Address::parse(send.server), send.content, send.deadline,
                   [this, attempt](net::Exchange exchange) {
-                    stepDispatcher(gateway::ExchangeFinished{attempt, std::move(exchange)});
+                    step(gateway::ExchangeFinished{attempt, std::move(exchange)});
                   });
   }
-  void carry(gateway::CancelRequest const& cancel) { client_.cancel(cancel.attempt); }
-  void carry(gateway::ParseShardResult const&) {}
-  void carry(gateway::MergeShardResults const& merge) {
-    stepDispatcher(
-        gateway::MergeFinished{merge.request, dispatch::mergeShardResults(merge.shardResults, merge.resultSize)});
+  void apply(gateway::CancelRequest const& cancel) { client_.cancel(cancel.attempt); }
+  void apply(gateway::ParseShardResult const&) {}
+  void apply(gateway::MergeShardResults const& merge) {
+    step(gateway::MergeFinished{merge.request, dispatch::mergeShardResults(merge.shardResults, merge.resultSize)});
   }
-  void carry(dispatch::LogEntry const&) {}
+  void apply(dispatch::LogEntry const&) {}
 
   net::Network network_;
   gateway::RequestManager requestManager_;
   net::HttpClient client_;
   std::unordered_map<std::uint64_t, net::Responder> responders_;
-  std::uint64_t last_ = 0;
+  std::uint64_t lastRequest_ = 0;
   TimePoint armedFor_ = TimePoint::max();
-  net::Network::TimerId alarm_ = 0;
+  net::Network::TimerId timer_ = 0;
   std::unique_ptr<net::HttpServer> server_;
 };
 
-enum class Kind { write, read, search };
+enum class RequestKind { write, read, search };
 
-struct Told {
-  Kind kind = Kind::write;
+struct CallerOutcome {
+  RequestKind kind = RequestKind::write;
   int answers = 0;
   bool notRun = false;
   bool success = false;
 };
 
-/// Callers of a path, several at once, and what each was told.
-class PathCallers {
+/// Concurrent callers of a gateway, and the outcome that each was told.
+class Callers {
  public:
-  PathCallers(net::Address const& path, unsigned seed, std::size_t most)
-      : path_(path), seed_(seed), most_(most), random_(seed), client_(network_, {}) {}
-  ~PathCallers() { network_.stop(); }
+  Callers(net::Address const& gatewayAddress, unsigned seed, std::size_t maxRequests)
+      : gatewayAddress_(gatewayAddress), seed_(seed), maxRequests_(maxRequests), random_(seed), client_(network_, {}) {}
+  ~Callers() { network_.stop(); }
 
   void run() {
-    for (std::size_t flow = 0; flow < flows; ++flow) {
+    for (std::size_t flow = 0; flow < concurrency; ++flow) {
       network_.post([this] { next(); });
     }
-    left_.wait();
+    runningFlows_.wait();
   }
 
-  std::map<std::string, Told> const& told() const { return told_; }
-  std::vector<std::string> const& wrong() const { return wrong_; }
+  std::map<std::string, CallerOutcome> const& outcomes() const { return outcomes_; }
+  std::vector<std::string> const& violations() const { return violations_; }
 
  private:
-  static constexpr std::size_t flows = 8;
+  static constexpr std::size_t concurrency = 8;
 
   void next() {
-    if (begun_ == most_) {
-      left_.count_down();
+    if (begun_ == maxRequests_) {
+      runningFlows_.count_down();
       return;
     }
     std::uint64_t const number = ++begun_;
-    Kind const kind = static_cast<Kind>(random_() % 3);
+    RequestKind const kind = static_cast<RequestKind>(random_() % 3);
     std::string const id = "s" + std::to_string(seed_) + "n" + std::to_string(number);
-    std::string const prefix = kind == Kind::write ? "/write/" : kind == Kind::read ? "/read/" : "/find/";
-    told_[id].kind = kind;
-    client_.begin(number, path_, {"POST", prefix + id, {{"host", "h"}, {"x-id", id}}, bodyOf(id, random_() % 300), ""},
+    std::string const prefix = kind == RequestKind::write ? "/write/" : kind == RequestKind::read ? "/read/" : "/find/";
+    outcomes_[id].kind = kind;
+    client_.begin(number, gatewayAddress_,
+                  {"POST", prefix + id, {{"host", "h"}, {"x-id", id}}, bodyOf(id, random_() % 300), ""},
                   Clock::now() + Ms(30'000), [this, id](net::Exchange const& exchange) {
                     onFinished(id, exchange);
                     next();
@@ -350,22 +350,22 @@
   }
 
   void onFinished(std::string const& id, net::Exchange const& exchange) {
-    Told& told = told_.at(id);
+    CallerOutcome& told = outcomes_.at(id);
     ++told.answers;
     if (!exchange.answer) {
-      wrong_.push_back(id + " was left without an answer: " + exchange.reason);
+      violations_.push_back(id + " got no answer: " + exchange.reason);
       return;
     }
     net::Answer const& answer = *exchange.answer;
     told.notRun = findHeader(answer.headers, "x-verdict") == "not_run";
     told.success = answer.status == 200;
-    if (told.success && !isOwn(id, told.kind, answer)) {
-      wrong_.push_back(id + " got " + answer.body.substr(0, 100));
+    if (told.success && !belongsToRequest(id, told.kind, answer)) {
+      violations_.push_back(id + " got " + answer.body.substr(0, 100));
     }
   }
 
-  static bool isOwn(std::string const& id, Kind kind, net::Answer const& answer) {
-    if (kind != Kind::search) {
+  static bool belongsToRequest(std::string const& id, RequestKind kind, net::Answer const& answer) {
+    if (kind != RequestKind::search) {
       return answer.body.starts_with(id + "|") && answer.body.ends_with("|" + id) && answer.body.size() > 2 * id.size();
     }
     std::string rest = answer.body;
@@ -381,14 +381,14 @@
     return rest.empty() && std::to_string(shardResults) == findHeader(answer.headers, "x-parts").value_or("");
   }
 
-  net::Address path_;
+  net::Address gatewayAddress_;
   unsigned seed_;
-  std::size_t most_;
+  std::size_t maxRequests_;
   std::mt19937 random_;
-  std::latch left_{flows};
+  std::latch runningFlows_{concurrency};
   std::size_t begun_ = 0;
-  std::map<std::string, Told> told_;
-  std::vector<std::string> wrong_;
+  std::map<std::string, CallerOutcome> outcomes_;
+  std::vector<std::string> violations_;
   net::Network network_;
   net::HttpClient client_;
 };
@@ -399,112 +399,114 @@
   }
 }
 
-TEST(ResendAdversary, ARequestThatMayNotBeRepeatedRunsOnceAndNoneThatRanIsSaidNotToHave) {
+TEST(ResendAdversary, RequestRunsAtMostOnceAndIsNotReportedNotRunIfItRan) {
   constexpr std::size_t requests = 2000;
   for (unsigned seed = 1; seed <= 3; ++seed) {
     std::vector<std::unique_ptr<FaultyServer>> servers;
     std::vector<std::pair<std::string, dispatch::ServersUpdated>> tables;
     for (std::string const service : {"s0", "s1", "w0"}) {
       dispatch::ServersUpdated table{service, {}};
-      for (std::size_t number = 0; number < serversOfAService; ++number) {
+      for (std::size_t number = 0; number < serversPerService; ++number) {
         servers.push_back(std::make_unique<FaultyServer>(service, number, seed));
-        table.rows.push_back(servers.back()->row());
+        table.rows.push_back(servers.back()->endpoint());
       }
       tables.emplace_back(service, table);
     }
-    std::unique_ptr<Path> path = std::make_unique<Path>(tables);
-    PathCallers callers(path->address(), seed, requests);
+    std::unique_ptr<GatewayUnderTest> gateway = std::make_unique<GatewayUnderTest>(tables);
+    Callers callers(gateway->address(), seed, requests);
     callers.run();
-    path.reset();
+    gateway.reset();
     std::map<std::string, int> ran;
     std::map<std::string, int> read;
     for (std::unique_ptr<FaultyServer> const& server : servers) {
-      server->stub().stop();
-      addTo(ran, server->stub().ran());
-      addTo(read, server->stub().read());
-      EXPECT_EQ(server->stub().onSpoiltConnections(), 0u) << "seed " << seed;
+      server->standIn().stop();
+      addTo(ran, server->standIn().ran());
+      addTo(read, server->standIn().read());
+      EXPECT_EQ(server->standIn().onSpoiltConnections(), 0u) << "seed " << seed;
     }
     std::size_t successes = 0;
-    std::size_t promises = 0;
-    std::size_t again = 0;
-    for (std::string const& wrong : callers.wrong()) {
-      ADD_FAILURE() << "seed " << seed << ": " << wrong;
+    std::size_t saidNotRun = 0;
+    std::size_t resent = 0;
+    for (std::string const& violation : callers.violations()) {
+      ADD_FAILURE() << "seed " << seed << ": " << violation;
     }
-    for (std::pair<std::string const, Told> const& entry : callers.told()) {
-      Told const& told = entry.second;
+    for (std::pair<std::string const, CallerOutcome> const& entry : callers.outcomes()) {
+      CallerOutcome const& told = entry.second;
       EXPECT_EQ(told.answers, 1) << entry.first;
-      int const most = told.kind == Kind::write ? 1 : told.kind == Kind::read ? 3 : 6;
+      int const most = told.kind == RequestKind::write ? 1 : told.kind == RequestKind::read ? 3 : 6;
       EXPECT_LE(ran[entry.first], most) << "seed " << seed << " " << entry.first;
       EXPECT_TRUE(!told.notRun || ran[entry.first] == 0) << "seed " << seed << " " << entry.first;
       EXPECT_TRUE(!told.success || ran[entry.first] > 0) << "seed " << seed << " " << entry.first;
       successes += told.success ? 1 : 0;
-      promises += told.notRun ? 1 : 0;
-      again += told.kind == Kind::write && read[entry.first] > 1 ? 1 : 0;
+      saidNotRun += told.notRun ? 1 : 0;
+      resent += told.kind == RequestKind::write && read[entry.first] > 1 ? 1 : 0;
     }
-    std::printf("seed %u: %zu requests, %zu successes, %zu said not to have run, %zu unrepeatable ones sent again\n",
-                seed, requests, successes, promises, again);
+    std::printf("seed %u: %zu requests, %zu successes, %zu reported as not run, %zu non-idempotent ones resent\n", seed,
+                requests, successes, saidNotRun, resent);
     EXPECT_GT(successes, requests / 3);
-    EXPECT_GT(again, 5u);
+    EXPECT_GT(resent, 5u);
   }
 }
 
-// Orders of an operator that are handed to the primary.
+// Operators' orders that a node forwards to the primary.
 
-/// The state that all stand-in primaries share: which orders were taken, as the receipts of a real group.
-class Receipts {
+/// The decisions about orders that all stand-in primaries share, as a replication group keeps its receipts.
+class OrderReceipts {
  public:
   bool taken(std::string const& order) const {
     std::unique_lock<std::mutex> const lock(mutex_);
     std::map<std::string, bool>::const_iterator const found = decisions_.find(order);
     return found != decisions_.end() && found->second;
   }
-  /// The first decision about an order holds.
+  /// Records a decision and returns the one in force: the first decision about an order stands.
   bool decide(std::string const& order, bool taken) {
     std::unique_lock<std::mutex> const lock(mutex_);
     return decisions_.emplace(order, taken).first->second;
   }
-  std::uint64_t nextTry(std::string const& order, std::string const& change) {
+  std::uint64_t countAttempt(std::string const& order, std::string const& change) {
     std::unique_lock<std::mutex> const lock(mutex_);
-    changes_[order].insert(change);
-    return ++tries_[order];
+    changeIds_[order].insert(change);
+    return ++attempts_[order];
   }
-  /// Orders that came under more than one id.
-  std::size_t renamed() const {
+  /// Number of orders that were sent with more than one change id.
+  std::size_t ordersWithSeveralIds() const {
     std::unique_lock<std::mutex> const lock(mutex_);
     return static_cast<std::size_t>(std::count_if(
-        changes_.begin(), changes_.end(),
+        changeIds_.begin(), changeIds_.end(),
         [](std::pair<std::string const, std::set<std::string>> const& entry) { return entry.second.size() != 1; }));
   }
 
  private:
   mutable std::mutex mutex_;
   std::map<std::string, bool> decisions_;
-  std::map<std::string, std::uint64_t> tries_;
-  std::map<std::string, std::set<std::string>> changes_;
+  std::map<std::string, std::uint64_t> attempts_;
+  std::map<std::string, std::set<std::string>> changeIds_;
 };
 
-/// A node whose orders are handed on to stand-in primaries, with a clock that the test moves.
-class Orders {
+/// Forwards orders to stand-in primaries through an OrderForwarder, with a clock that the test advances.
+class OrderSender {
  public:
-  explicit Orders(std::uint64_t seed) : seed_(seed), client_(network_, {}) {
+  explicit OrderSender(std::uint64_t seed) : seed_(seed), client_(network_, {}) {
     for (std::unique_ptr<StandInServer>& primary : primaries_) {
-      primary = std::make_unique<StandInServer>("x-order", [this](SeenRequest const& seen) { return react(seen); });
+      primary =
+          std::make_unique<StandInServer>("x-order", [this](SeenRequest const& seen) { return reactionTo(seen); });
     }
-    runner_ =
+    forwarder_ =
         std::make_unique<control::OrderForwarder>(client_, "127.0.0.1:1", 100, [this](control::ForwardFinished back) {
-          runner_->onFinished(now(), back);
-          moveOn(Ms(250));
+          forwarder_->onFinished(now(), back);
+          advance(Ms(250));
         });
-    network_.post([this] { moveOn(Ms(1)); });
+    network_.post([this] { advance(Ms(1)); });
   }
-  ~Orders() {
+  ~OrderSender() {
     network_.stop();
     for (std::unique_ptr<StandInServer> const& primary : primaries_) {
       primary->stop();
     }
   }
 
-  /// Every other order has time for few attempts, so that doubt about one of them is all there is to tell.
+  /// Every other order has a deadline of 400 ms, which allows few attempts, so that its answer depends on an attempt
+  /// with unknown outcome.
   net::Answer send(std::string const& order) {
     std::promise<net::Answer> answer;
     network_.post([&] {
@@ -515,12 +517,12 @@
                                   {"x-order", order}},
                                  "{\"order\":" + order + "}",
                                  ""};
-      runner_->take(now(), now(), request, [&answer](net::Answer const& told) { answer.set_value(told); });
+      forwarder_->take(now(), now(), request, [&answer](net::Answer const& told) { answer.set_value(told); });
     });
     return answer.get_future().get();
   }
 
-  Receipts const& receipts() const { return receipts_; }
+  OrderReceipts const& receipts() const { return receipts_; }
   void stopPrimaries() {
     for (std::unique_ptr<StandInServer> const& primary : primaries_) {
       primary->stop();
@@ -528,46 +530,46 @@
   }
 
  private:
-  TimePoint now() const { return Clock::now() + passed_; }
+  TimePoint now() const { return Clock::now() + elapsed_; }
 
-  void moveOn(Ms time) {
-    passed_ += time;
-    network_.post([this] { runner_->tick(now(), primaries_[++turns_ / 3 % 2]->address().text()); });
+  void advance(Ms time) {
+    elapsed_ += time;
+    network_.post([this] { forwarder_->tick(now(), primaries_[++ticks_ / 3 % 2]->address().text()); });
   }
 
-  /// The answer of a primary that knows the order: taken or refused for good.
-  std::string decide(std::string const& order, std::string const& named, bool takes) {
+  /// The answer of a primary that has decided the order: taken, or refused permanently.
+  std::string decide(std::string const& order, std::string const& idHeaderLine, bool takes) {
     bool const taken = receipts_.decide(order, takes);
-    return answerOf(taken ? 200 : 409, named, taken ? R"({"outcome":"taken"})" : R"({"outcome":"conflict"})");
+    return answerOf(taken ? 200 : 409, idHeaderLine, taken ? R"({"outcome":"taken"})" : R"({"outcome":"conflict"})");
   }
 
-  Reaction react(SeenRequest const& seen) {
+  Reaction reactionTo(SeenRequest const& seen) {
     std::string const order = seen.header("x-order");
     std::string const change = seen.header("limeramp-change");
-    std::string const named = "limeramp-change: " + change + "\r\n";
-    std::uint64_t const draw = mix(order, seed_ + receipts_.nextTry(order, change) * 1000);
+    std::string const idHeaderLine = "limeramp-change: " + change + "\r\n";
+    std::uint64_t const draw = mix(order, seed_ + receipts_.countAttempt(order, change) * 1000);
     std::uint64_t const other = draw / 100;
     Reaction out;
     switch (draw % 12) {
       case 0:
       case 1:
-        out.bytes = decide(order, named, true);
+        out.bytes = decide(order, idHeaderLine, true);
         out.bytes.resize(other % out.bytes.size());
         out.ending = draw % 2 == 0 ? Ending::closes : Ending::resets;
         break;
       case 2:
-        decide(order, named, true);
+        decide(order, idHeaderLine, true);
         out.spoils = true;
-        out.whenRead = [this] { network_.post([this] { moveOn(Ms(3000)); }); };
+        out.whenRead = [this] { network_.post([this] { advance(Ms(3000)); }); };
         break;
       case 3:
         out.resetsAt = seen.head.size() + other % 4;
         break;
       case 4:
-        out.bytes = answerOf(503, named, R"({"outcome":"not_run"})");
+        out.bytes = answerOf(503, idHeaderLine, R"({"outcome":"not_run"})");
         break;
       case 5:
-        out.bytes = decide(order, named, false);
+        out.bytes = decide(order, idHeaderLine, false);
         break;
       case 6:
         out.bytes = answerOf(404, "", "another program");
@@ -576,69 +578,69 @@
         out.bytes = answerOf(200, "", "another program");
         break;
       case 8:
-        decide(order, named, true);
+        decide(order, idHeaderLine, true);
         out.bytes = answerOf(other % 2 == 0 ? 200 : 409, "limeramp-change: another\r\n", "");
         out.spoils = true;
         break;
       case 9:
-        decide(order, named, true);
+        decide(order, idHeaderLine, true);
         out.bytes = answerOf(other % 2 == 0 ? 503 : 400, "", R"({"change":"another"})");
         break;
       default:
-        out.bytes = decide(order, named, true);
+        out.bytes = decide(order, idHeaderLine, true);
         break;
     }
     return out;
   }
 
   std::uint64_t seed_;
-  Receipts receipts_;
-  Ms passed_{0};
-  std::size_t turns_ = 0;
+  OrderReceipts receipts_;
+  Ms elapsed_{0};
+  std::size_t ticks_ = 0;
   net::Network network_;
   net::HttpClient client_;
-  std::unique_ptr<control::OrderForwarder> runner_;
+  std::unique_ptr<control::OrderForwarder> forwarder_;
   std::array<std::unique_ptr<StandInServer>, 2> primaries_;
 };
 
-/// An answer that leaves open whether the order is taken. A 503 speaks of its own call alone: after an earlier call
-/// that was left in doubt it decides nothing.
-bool isUnclear(net::Answer const& answer, bool inDoubt) {
+/// Whether an answer leaves open if the order is taken. A 503 concerns only its own call: after an earlier call with
+/// unknown outcome it decides nothing.
+bool isOutcomeUnknown(net::Answer const& answer, bool inDoubt) {
   return answer.status == 504 || (inDoubt && answer.status == 503);
 }
 
-TEST(ResendAdversary, AnOrderThatMayHaveReachedThePrimaryIsNeverSaidToBeRefused) {
+TEST(ResendAdversary, OrderThatMayHaveReachedThePrimaryIsNotReportedRefused) {
   constexpr int orders = 800;
-  constexpr int maxRepetitions = 6;
+  constexpr int maxSends = 6;
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    Orders path(seed);
+    OrderSender sender(seed);
     std::set<std::string> refused;
     std::set<std::string> taken;
     std::size_t unknown = 0;
     for (int number = 0; number < orders; ++number) {
       std::string const order = std::to_string(number);
-      net::Answer answer = path.send(order);
+      net::Answer answer = sender.send(order);
       bool inDoubt = false;
-      for (int turn = 1; turn < maxRepetitions && isUnclear(answer, inDoubt); ++turn) {
+      for (int sends = 1; sends < maxSends && isOutcomeUnknown(answer, inDoubt); ++sends) {
         inDoubt = true;
         ++unknown;
-        answer = path.send(order);
+        answer = sender.send(order);
       }
       if (answer.status == 200) {
         taken.insert(order);
-      } else if (!isUnclear(answer, inDoubt)) {
+      } else if (!isOutcomeUnknown(answer, inDoubt)) {
         refused.insert(order);
       }
     }
-    path.stopPrimaries();
+    sender.stopPrimaries();
     for (std::string const& order : refused) {
-      EXPECT_FALSE(path.receipts().taken(order)) << "seed " << seed << ": refused and taken " << order;
+      EXPECT_FALSE(sender.receipts().taken(order)) << "seed " << seed << ": reported as refused but taken: " << order;
     }
     for (std::string const& order : taken) {
-      EXPECT_TRUE(path.receipts().taken(order)) << "seed " << seed << ": acknowledged and not taken " << order;
+      EXPECT_TRUE(sender.receipts().taken(order)) << "seed " << seed << ": acknowledged but not taken: " << order;
     }
-    EXPECT_EQ(path.receipts().renamed(), 0u) << "a repetition has another id";
-    std::printf("seed %llu: %zu orders taken, %zu refused, %zu left in doubt and sent again\n",
+    EXPECT_EQ(sender.receipts().ordersWithSeveralIds(), 0u) << "an order was resent with another change id";
+    std::printf("seed %llu: %zu orders taken, %zu refused, %zu resent after an unknown outcome\n",
                 static_cast<unsigned long long>(seed), taken.size(), refused.size(), unknown);
     EXPECT_GT(taken.size(), 400u);
     EXPECT_GT(refused.size(), 20u);
