--- a/libs/gateway/src/gateway_server_impl.h
+++ b/libs/gateway/src/gateway_server_impl.h
@@ -28,8 +28,8 @@
   net::Responder respond;
   /// Whether it came to a listener for callers, which does not serve the paths under /limeramp.
   bool caller = false;
-  /// When the network thread had read the request. Deadlines count from here, so that a process that stalls afterwards
-  /// does not extend them.
+  /// When the network thread had read the request. The deadline of an operator's call counts from here, so that a
+  /// process that stalls afterwards does not extend it.
   Clock::time_point arrivedAt = Clock::now();
 };
 
