--- a/libs/distribution/include/limeramp/distribution/config_delivery.h
+++ b/libs/distribution/include/limeramp/distribution/config_delivery.h
@@ -11,50 +11,52 @@
 #include <string>
 #include <vector>
 
-/// Bringing the replicated state to every node.
+/// Delivers the replicated state to every node.
 namespace limeramp::distribution {
 
-/// How often a node polls, and how long what it heard stays good. Shorter times bring a change and the loss of a node
-/// to light sooner; each costs messages of every node.
+/// Poll intervals and timeouts of one node, in milliseconds. Shorter values detect a change or the loss of a node
+/// sooner and cost more messages from every node.
 struct ConfigDeliveryOptions {
-  /// Between two polls of the node that is followed; of a controller in another zone, `remotePollMs`.
+  /// Interval between two polls of the node that is followed. `remotePollMs` applies instead to a controller in another
+  /// zone, unless the confirmation of the state is overdue.
   std::chrono::milliseconds pollMs{200};
   std::chrono::milliseconds remotePollMs{350};
-  /// A poll that has no answer after this time makes the node that was polled a suspect. Above the round trip between
+  /// A node that has not answered a poll after this time is suspected to be down. Must exceed the round trip between
   /// the farthest zones.
   std::chrono::milliseconds replyMs{450};
-  /// For this long a suspect is passed over.
+  /// A suspected node is not polled for this long.
   std::chrono::milliseconds suspectMs{3000};
-  /// A state that the primary has not confirmed for this long is checked with other nodes of the roster. Below
-  /// `currentMs` by the time that the check takes.
+  /// If the primary has not confirmed the state for this long, the node asks other nodes of the roster whether they
+  /// know a newer one. Must be below `currentMs` by at least the time that this check takes.
   std::chrono::milliseconds stalenessCheckMs{1300};
-  /// A confirmation is good for this long: afterwards the node refuses callers. With the time that the primary waits
-  /// for silent nodes it bounds how long after an acknowledgement an older configuration can be in force.
+  /// Validity of a confirmation; once it has expired, the node refuses callers. Together with the time that the primary
+  /// waits for silent nodes it bounds how long an older configuration stays in force after an acknowledgement.
   std::chrono::milliseconds currentMs{2000};
-  /// A follower that has not polled for this long is no longer reported.
+  /// A follower that has not polled for this long is no longer reported to the primary.
   std::chrono::milliseconds followerMs{2000};
-  /// A node that restarts while no primary answers begins to have its start recorded by others after this time.
+  /// A restarted node that no primary answers asks other nodes to record its new incarnation after this time.
   std::chrono::milliseconds recoverAfterMs{1000};
-  /// How long the answer of a node that knew nothing newer is good before it is asked again.
+  /// Validity of a peer's answer that it knows no newer state; the peer is not asked again before it expires.
   std::chrono::milliseconds peerConfirmationValidMs{1000};
-  /// How long a newer state that another node has named may take to come before it is asked for.
+  /// If a newer state that another node has named has not arrived after this time, it is requested from that node.
   std::chrono::milliseconds fetchAfterMs{150};
 };
 
-/// The same report of a node that is alive, confirming nothing.
+/// Returns `follower` with version 0: the node is reported as alive, but confirms no state.
 messages::Follower withoutVersion(messages::Follower follower);
 
-/// What this node knows about the state that it has, and so what may be served under it.
+/// How well the state of this node is confirmed, which decides whether the node may serve callers.
 enum class ConfigFreshness {
-  /// No state has come yet: nothing may be served.
+  /// No state has been received yet: nothing may be served.
   noConfiguration,
   /// The state's roster does not name this node at its address: nothing may be served.
   notMember,
-  /// Nobody has confirmed the state for `currentMs`: a newer one may be in force elsewhere, nothing may be served.
+  /// Neither the primary nor a majority has confirmed the state within `currentMs`. A newer one may be in force
+  /// elsewhere: nothing may be served.
   stale,
-  /// The primary has confirmed it within `currentMs`: callers are served.
+  /// The primary has confirmed the state within `currentMs`: callers are served.
   confirmedByPrimary,
-  /// The primary is silent, a majority of the roster knows nothing newer: callers are served.
+  /// The primary does not answer, but a majority of the roster knows no newer state: callers are served.
   confirmedByMajority,
 };
 
@@ -66,25 +68,25 @@
 /// How far this node is behind, for readiness and status pages.
 struct DeliveryStatus {
   ConfigFreshness freshness = ConfigFreshness::noConfiguration;
-  /// Since the primary last confirmed the state; milliseconds::max() if it never did.
+  /// Time since the primary last confirmed the state; milliseconds::max() if it never did.
   std::chrono::milliseconds ageMs{0};
-  /// How many versions the newest one that was heard of is ahead of the one that is here.
+  /// How many versions this node's state is behind the newest version that any node has named.
   std::uint64_t versionsBehind = 0;
 };
 
-/// What a step asks for.
+/// The result of one step of ConfigDelivery.
 struct ConfigDeliveryStep {
   std::vector<Outgoing> sends;
-  /// Whether state() is a newer one than before.
+  /// Whether state() returns a newer state than before the step.
   bool changed = false;
 };
 
-/// Keeps one node on the newest replicated state and tells how sure that is.
+/// Keeps one node on the newest replicated state and reports how recently that state was confirmed.
 ///
-/// A pure state machine: it reads no clock and sends nothing, it returns what to send. The node follows the owner of
-/// the configuration in its zone, or the primary if it is the owner; it hands the state on to those that follow it.
-/// Guarantees: state() never falls back to an older version; a state counts as confirmed only from the moment at which
-/// the question was sent that confirmed it. docs/control.md has the argument. Not safe for use by several threads.
+/// A pure state machine: it reads no clock and returns the messages to send. The node polls the owner of the
+/// configuration in its zone, or the primary if it is the owner itself, and passes the state on to its own followers.
+/// Guarantees: state() never returns to an older version; a confirmation is dated to the moment at which the request
+/// for it was sent, not to its arrival. docs/control.md has the argument. Not thread-safe.
 class ConfigDelivery {
  public:
   ConfigDelivery(ConfigDeliveryOptions const& options, messages::Follower const& self, std::uint64_t boot,
@@ -95,19 +97,19 @@
   ConfigDelivery& operator=(ConfigDelivery const&);
   ConfigDelivery& operator=(ConfigDelivery&&) noexcept;
 
-  /// To be called every 50 ms or so. `peers`: the partial view of the fleet.
+  /// Must be called about every 50 ms. `peers` is the partial view of the fleet.
   ConfigDeliveryStep tick(TimePoint now, std::vector<messages::Peer> const& peers);
-  /// Takes in a message from `address`; the answer, if there is one, is among the sends.
+  /// Processes a message from `address`; the returned `sends` include the response, if there is one.
   ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateRequest const& message);
   ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateResponse const& message);
   ConfigDeliveryStep onMessage(TimePoint now, std::string const& address, messages::StateUpdate const& message);
 
-  /// The process will end: the next reports say so, and the node asks for its place to be given up.
+  /// Marks the node as draining: its next reports say so, and ask the primary to remove it from the roster.
   void beginShutdown();
   DeliveryStatus status(TimePoint now) const;
-  /// The newest state that came here, without receipts; nothing before the first one.
+  /// The newest state received, without receipts; nullopt before the first one.
   std::optional<messages::State> const& state() const;
-  /// Where the primary was last said to be; empty if nobody says.
+  /// The last known address of the primary; empty if none is known.
   std::string const& primaryAddress() const;
 
  private:
--- a/libs/distribution/include/limeramp/distribution/peer_views.h
+++ b/libs/distribution/include/limeramp/distribution/peer_views.h
@@ -10,43 +10,44 @@
 #include <utility>
 #include <vector>
 
-/// Finding other processes of the fleet.
+/// Discovers the other processes of the fleet.
 namespace limeramp::distribution {
 
-/// All state machines count on the steady clock of their own machine.
+/// All state machines read time from the steady clock of their own machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// A message for the process at `address`. Sending may lose it; every sender repeats what matters.
+/// A message for the process at `address`. It may be lost on the way; senders repeat what must arrive.
 struct Outgoing {
   std::string address;
   messages::Message message;
 };
 
-/// How partial views are exchanged. Every message carries a bounded sample, so the cost of a node does not grow with
-/// the fleet.
+/// How partial views are exchanged. Every message carries a bounded sample, so a node's cost does not grow with the
+/// size of the fleet.
 struct PeerViewOptions {
-  /// Entries kept; the ones heard of longest ago go first.
+  /// Maximum number of entries; those heard from longest ago are dropped first.
   std::size_t maxPeers = 32;
-  /// Entries of a sample for a neighbour in the same zone, and for one in another zone.
+  /// Maximum entries in a sample for a neighbour in the same zone, and for one in another zone.
   std::size_t maxShuffled = 10;
   std::size_t maxShuffledRemote = 6;
-  /// Every so many-th shuffle goes to another zone, every fourth of these to a seed.
+  /// One shuffle in this many goes to another zone; one in four of these goes to a seed.
   std::size_t remoteShuffleEvery = 6;
-  /// With fewer entries than this the seeds are asked at each shuffle.
+  /// With fewer entries than this, each shuffle also goes to a seed.
   std::size_t fewPeers = 3;
+  /// Interval between two shuffles.
   std::chrono::milliseconds shuffleMs{300};
-  /// An entry that nobody has heard from for this long is dropped.
+  /// An entry is dropped when nobody has heard from its node for this long.
   std::chrono::milliseconds forgetMs{6000};
   /// A seed counts as alive for this long after its last message.
   std::chrono::milliseconds seedAliveMs{5000};
-  /// After this time a majority of the seeds is enough to found a group; before, all of them are needed.
+  /// From this time after the start a majority of the seeds suffices to found a group; before, all of them are needed.
   std::chrono::milliseconds loneFoundingMs{4000};
 };
 
-/// A process's partial view of the fleet: a bounded random sample of the others, kept fresh by exchanging samples with
-/// neighbours, as in gossip membership (docs/membership.md). It finds peers; who is a member is decided by the roster.
+/// A process's partial view of the fleet: a bounded random sample of the other processes, refreshed by exchanging
+/// samples with neighbours (gossip membership, docs/membership.md). It finds peers; the roster decides who is a member.
 ///
-/// A pure state machine, not safe for use by several threads.
+/// A pure state machine; not thread-safe.
 class PeerViews {
  public:
   PeerViews(PeerViewOptions const& options, messages::Peer const& self, std::vector<std::string> const& seeds,
@@ -55,14 +56,14 @@
   PeerViews(PeerViews&&) noexcept;
   PeerViews& operator=(PeerViews&&) noexcept;
 
-  /// Replaces the seeds that this process asks when it knows few others, and asks all of them at the next tick.
-  /// Founding still counts the seeds of the construction: processes may hold different seeds for a while, and two
-  /// halves that count different ones could found two groups.
+  /// Replaces the seeds that this process contacts when it knows few others, and contacts all of them at the next
+  /// shuffle. mayFound() still counts the seeds of the construction: processes may hold different seeds for a while,
+  /// and two halves that count different ones could found two groups.
   void setSeeds(std::vector<std::string> const& seeds);
 
-  /// `eager`: all seeds are asked besides, as a process does that has nothing yet.
+  /// Sends the shuffle that is due, if any. With `eager` it goes to all seeds as well, for a process that has no state.
   std::vector<Outgoing> tick(TimePoint now, bool eager = false);
-  /// Takes in another process's sample, and answers with one if it is not itself an answer.
+  /// Merges another process's sample and, unless that is itself a reply, replies with a sample of this view.
   std::vector<Outgoing> onMessage(TimePoint now, std::string const& from, std::string const& address,
                                   messages::Shuffle const& message);
   /// The entries, with the time since each was last heard from.
--- a/libs/distribution/include/limeramp/distribution/rendezvous_hash.h
+++ b/libs/distribution/include/limeramp/distribution/rendezvous_hash.h
@@ -5,8 +5,9 @@
 
 namespace limeramp::distribution {
 
-/// Rendezvous hashing: `nodes` in the order in which they own `topic`. All who know the same nodes get the same order,
-/// and a node that comes or goes moves no other two. The first one that is alive is the owner.
+/// Rendezvous hashing: returns `nodes` in the order of their claim to own `topic`; the first one that is alive is the
+/// owner. Everyone who knows the same nodes gets the same order, and adding or removing a node does not change the
+/// relative order of the others.
 std::vector<std::string> rankByRendezvousHash(std::string const& topic, std::vector<std::string> nodes);
 
 }  // namespace limeramp::distribution
--- a/libs/distribution/include/limeramp/distribution/staleness_check.h
+++ b/libs/distribution/include/limeramp/distribution/staleness_check.h
@@ -9,30 +9,30 @@
 #include <string>
 #include <vector>
 
-/// Asking other nodes whether a newer state is known.
+/// Asks other nodes whether they know a newer state.
 namespace limeramp::distribution {
 
-/// The steady clock of this machine.
+/// A time on the steady clock of this machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// How often and whom a node asks.
+/// Pace and batch size of the requests.
 struct StalenessCheckOptions {
-  /// Questions go out at most once in this time.
-  std::chrono::milliseconds sliceMs{112};
-  /// A question that has waited longer than this for its answer no longer counts as under way.
+  /// Minimum interval between two batches of requests.
+  std::chrono::milliseconds batchIntervalMs{112};
+  /// A request that has gone unanswered for longer than this no longer counts as pending.
   std::chrono::milliseconds replyMs{450};
-  /// The same node is asked again at the earliest after this time.
-  std::chrono::milliseconds againMs{900};
-  /// In one slice at most the whole roster divided by this number is asked.
-  std::size_t slices = 4;
+  /// Minimum interval between two requests to the same node.
+  std::chrono::milliseconds repeatMs{900};
+  /// One batch goes to at most the size of the roster divided by this number, plus one.
+  std::size_t minBatches = 4;
 };
 
-/// Chooses whom a node without fresh news asks whether anything newer is known.
+/// Chooses which nodes to ask for a newer state while the primary does not confirm this node's state.
 ///
-/// A majority of the roster has to answer again and again for as long as the news stays away. With every node of a
-/// large fleet in that state the questions are its main load, so no more nodes are asked than the majority needs, with
-/// a small reserve for those that do not answer. Each node begins at another place of the roster, so that the questions
-/// of all spread evenly.
+/// Until the primary confirms again, a majority of the roster has to answer over and over. If every node of a large
+/// fleet is in this situation, these requests are its main load, so only as many nodes are asked as the majority needs,
+/// plus a small reserve for those that do not answer. Each node starts at a different position of the roster, which
+/// spreads the requests evenly.
 class StalenessCheck {
  public:
   using Answered = std::function<bool(std::string const& node)>;
@@ -40,19 +40,20 @@
   StalenessCheck(StalenessCheckOptions const& options, std::string const& self, std::uint64_t seed)
       : options_(options), self_(self), cursor_(seed) {}
 
-  /// The nodes to ask now. `needed` answers of other nodes are wanted; `answered` says whose last answer is still good.
+  /// The nodes to ask now. `needed` is how many other nodes have to answer; `answered` tells whether a node's last
+  /// answer is still valid.
   std::vector<messages::RosterEntry> due(TimePoint now, std::vector<messages::RosterEntry> const& roster,
                                          std::size_t needed, Answered const& answered);
 
  private:
-  std::size_t wanted(TimePoint now, std::vector<messages::RosterEntry> const& roster, std::size_t needed,
-                     Answered const& answered) const;
-  bool askedWithin(TimePoint now, std::string const& node, std::chrono::milliseconds time) const;
+  std::size_t requestCount(TimePoint now, std::vector<messages::RosterEntry> const& roster, std::size_t needed,
+                           Answered const& answered) const;
+  bool askedWithin(TimePoint now, std::string const& node, std::chrono::milliseconds interval) const;
 
   StalenessCheckOptions options_;
   std::string self_;
   std::uint64_t cursor_;
-  TimePoint nextAt_{};
+  TimePoint nextBatchAt_{};
   std::map<std::string, TimePoint> askedAt_;
 };
 
--- a/libs/distribution/include/limeramp/distribution/state_feed.h
+++ b/libs/distribution/include/limeramp/distribution/state_feed.h
@@ -11,55 +11,56 @@
 #include <string>
 #include <vector>
 
-/// Hands the newest state to those that follow this machine: the primary to the homes of the zones, a home to the nodes
-/// of its zone. Each follower names what it has in its polls; it is sent what it lacks, in answer to a poll or, when a
-/// new state is published, as a push. A configuration that is on its way to a follower is not sent to it again until it
-/// could have arrived over a slow link, so that a link which is slower than the polls does not fill up.
+/// Sends the newest state to the followers of this process: the primary sends it to the zone owners, a zone owner to
+/// the nodes of its zone. A follower's polls name the versions it has; it is sent what it lacks, in the response to a
+/// poll or, when a new state is published, as a push. A configuration in flight to a follower is not sent again before
+/// it could have arrived over a slow link; otherwise a link slower than the poll rate would fill with copies.
 namespace limeramp::distribution {
 
-/// Pace of the pushes.
+/// Limits on what is sent to followers, and how often.
 struct StateFeedOptions {
   /// A follower that has not polled for this long is sent no pushes.
   std::chrono::milliseconds followerMs{2000};
-  /// A configuration is sent again at the earliest this long after it, and all that was sent before it, could have left
-  /// over a link of `bytesPerMs`.
+  /// A configuration is resent no earlier than this time after it, and everything sent before it, could have been
+  /// transmitted over a link of `bytesPerMs`.
   std::chrono::milliseconds resendMs{150};
   std::size_t bytesPerMs = 500;
   std::size_t maxFollowers = 1000;
 };
 
-/// One for each process that hands states on. Not safe for use by several threads.
+/// One instance for each process that passes states on. Not thread-safe.
 class StateFeed {
  public:
   explicit StateFeed(StateFeedOptions const& options = {}) : options_(options) {}
 
-  /// `previous` is no longer the newest state.
+  /// Must be called when a newer state replaces `previous`, whose roster is kept as a base for differences.
   void replaced(TimePoint now, messages::State const& previous);
-  /// The answer to a poll: `news` alone if the poller has the newest state or wants none, or if none is known here.
+  /// The answer to a poll: `response` alone if the poller has the newest state or wants none, if the configuration that
+  /// it lacks is in flight, or if `newest` is null.
   messages::Message answer(TimePoint now, messages::State const* newest, messages::StateRequest const& poll,
                            messages::StateResponse response);
-  /// What the followers lack, each with `news`.
+  /// The messages that bring the followers to `newest`, each with `response`.
   std::vector<Outgoing> push(TimePoint now, messages::State const& newest, messages::StateResponse const& response);
-  /// Adds what decides over later sends to the digest of the whole state machine.
+  /// Adds the fields that affect later sends to the digest of the whole state machine.
   void digest(messages::StateDigest& digest) const;
 
  private:
-  struct Position {
+  struct FollowerState {
     std::string address;
-    messages::StateVersion has;
+    messages::StateVersion stateVersion;
     std::optional<messages::PartVersions> parts;
     TimePoint lastReceivedAt{};
     messages::StateVersion sentConfiguration;
-    TimePoint underWayUntil{};
+    TimePoint inFlightUntil{};
   };
 
-  std::optional<messages::Message> next(TimePoint now, messages::State const& newest, Position& follower,
-                                        messages::StateResponse const& response);
-  void documentSent(TimePoint now, messages::State const& newest, Position& follower);
+  std::optional<messages::Message> nextMessage(TimePoint now, messages::State const& newest, FollowerState& follower,
+                                               messages::StateResponse const& response);
+  void recordDocumentSent(TimePoint now, messages::State const& newest, FollowerState& follower);
 
   StateFeedOptions options_;
   RosterHistory rosters_;
-  std::map<std::string, Position> followers_;
+  std::map<std::string, FollowerState> followers_;
   TimePoint linkBusyUntil_{};
 };
 
--- a/libs/distribution/include/limeramp/distribution/state_update.h
+++ b/libs/distribution/include/limeramp/distribution/state_update.h
@@ -6,26 +6,27 @@
 #include <optional>
 #include <vector>
 
-/// Differences between states: what a follower at one version needs to reach another. A state has two parts with
-/// versions of their own, the configuration and the roster; the rest is a few bytes and always sent. Receipts of
-/// changes are for replicas alone and are never part of it.
+/// Differences between states: what a follower at one version needs to reach another. A state has two separately
+/// versioned parts, the configuration and the roster; the rest is a few bytes and always sent. Change receipts are only
+/// for replicas and never part of an update.
 namespace limeramp::distribution {
 
-/// The versions of the parts of a state; all 0 for none.
+/// The versions of the parts of `state`; all 0 if there is no state.
 messages::PartVersions partVersionsOf(std::optional<messages::State> const& state);
 
-/// What turns `from` into `to`, and the roster that a difference makes of another.
+/// The difference that turns `from` into `to`.
 messages::RosterDifference differenceOf(std::vector<messages::RosterEntry> const& from,
                                         std::vector<messages::RosterEntry> const& to);
+/// Returns `roster` with `difference` applied. The result has the entries of the target roster, in any order.
 std::vector<messages::RosterEntry> applyDifference(std::vector<messages::RosterEntry> roster,
                                                    messages::RosterDifference const& difference);
 
-/// The last rosters that were published, so that a follower which names one of them is sent the difference.
+/// The last published rosters. A follower that has one of them is sent only the difference.
 class RosterHistory {
  public:
-  /// The state's roster was published; the oldest one is dropped beyond a fixed number.
+  /// Adds the roster of a published state. The oldest rosters are dropped beyond a fixed number of rosters or entries.
   void remember(messages::State const& state);
-  /// Null if the version is not among the last ones. Version 0, 0 is the empty roster and always known.
+  /// The roster of that version; null if it is not kept. Version {0, 0} is the empty roster and always known.
   std::vector<messages::RosterEntry> const* find(messages::StateVersion const& version) const;
 
  private:
@@ -36,12 +37,12 @@
   std::deque<Entry> entries_;
 };
 
-/// What brings a follower that has `parts` to `state`: the configuration only if its version differs, the roster as a
-/// difference to the one it has, or to the empty one if that is not in `history`.
+/// The update that brings a follower with `parts` to `state`. It contains the configuration only if its version
+/// differs, and the roster as a difference to the follower's, or to the empty roster if that is not in `history`.
 messages::StateUpdate updateFor(messages::State const& state, messages::PartVersions const& parts,
                                 RosterHistory const& history, messages::StateResponse response);
 
-/// The state that `update` leads to from `current`; nothing if `current` is not what the update builds on.
+/// The state that results from applying `update` to `current`; nullopt if `current` is not the base of the update.
 std::optional<messages::State> applyUpdate(std::optional<messages::State> const& current,
                                            messages::StateUpdate const& update);
 
--- a/libs/distribution/src/config_delivery.cpp
+++ b/libs/distribution/src/config_delivery.cpp
@@ -19,19 +19,21 @@
 
 constexpr std::size_t maxPeersKnown = 2000;
 
-/// Why a node polls another: to follow its state; to report to the primary beside the owner that it follows; to hear
-/// whether it knows a newer state; or, after a restart, to have this start recorded and hear the same.
+/// Why a node sends a request: `follow` polls for the state; `report` reports to the primary in addition to the zone
+/// owner that the node follows; `verify` asks whether the peer knows a newer state; `recover` asks the same after a
+/// restart and has the peer record this node's new incarnation.
 enum class Purpose { follow, report, verify, recover };
 
-/// A poll that has no answer yet.
+/// A request that has not been answered yet.
 struct PendingRequest {
   std::string address;
   TimePoint at{};
   Purpose purpose = Purpose::follow;
-  /// What this node knew of incarnations when it asked, whether it sent it along, and whether its own start was in it.
+  /// The digest of this node's incarnation records at the time of the request, whether the request carried the records,
+  /// and whether they included this node's own incarnation.
   std::uint64_t incarnationsDigest = 0;
   bool sentIncarnations = true;
-  bool ownStartRecorded = false;
+  bool ownIncarnationRecorded = false;
 };
 
 StateVersion configurationVersionOf(messages::State const& state) {
@@ -53,14 +55,14 @@
   std::mt19937_64 random;
   std::optional<TimePoint> startedAt;
 
-  /// The newest state that came here, without receipts. Its version never falls.
+  /// The newest state received, without receipts. Its version never decreases.
   std::optional<messages::State> state;
   /// The newest version that any node has named.
   StateVersion newestKnown;
   /// Empty while no primary is known.
   std::string primaryAddress;
   /// True once the primary, or the nodes that took part in a recovery, have confirmed a state since this start. Until
-  /// then this node's word counts for nobody.
+  /// then no other node may count a confirmation by this one.
   bool caughtUp = false;
   FreshnessTracker freshness;
 
@@ -69,25 +71,25 @@
   std::uint64_t lastToken = 0;
   PollTargets targets;
   TimePoint nextPollAt{};
-  TimePoint nextFirstStateAt{};
-  /// Something changed that the node polled, or the primary, should know before the next interval is over.
+  TimePoint nextFirstStateRequestAt{};
+  /// The next tick polls without waiting for the interval: the followed node or the primary should learn of a change.
   bool pollNow = false;
   StateFetch fetch;
   StalenessCheck stalenessCheck{{}, "", 0};
 
   IncarnationRecords incarnations;
-  /// The digest of the records that a peer named when it last answered, by address. At most `maxPeersKnown`.
-  std::map<std::string, std::uint64_t> digestsOfPeers;
-  /// For a recovery: nodes that know of this start, with the start under which each of them said so.
+  /// The digest of incarnation records that each peer named in its last answer, by address. At most `maxPeersKnown`.
+  std::map<std::string, std::uint64_t> peerDigests;
+  /// During a recovery: the nodes that know this node's incarnation, each with its own incarnation when it said so.
   std::map<std::string, std::uint64_t> confirmedIncarnations;
 
   FollowerReports followers;
   StateFeed feed;
 
   StateVersion stateVersion() const { return state ? state->version() : StateVersion{}; }
-  bool listed() const;
+  bool isSelfListed() const;
   bool confirmationOverdue(TimePoint now) const;
-  bool knowsIncarnations(std::string const& address) const;
+  bool hasSameIncarnationRecords(std::string const& address) const;
   bool hasConfirmedIncarnation(std::string const& node) const;
   bool recovered() const;
 
@@ -97,8 +99,8 @@
 
   void expire(TimePoint now);
   void poll(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends);
-  void askForFirstState(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends);
-  void askRoster(TimePoint now, std::vector<Outgoing>& sends);
+  void requestFirstState(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends);
+  void sendStalenessChecks(TimePoint now, std::vector<Outgoing>& sends);
   void fetchNewerState(TimePoint now, std::vector<Outgoing>& sends);
 
   messages::Message answer(TimePoint now, messages::StateRequest const& request);
@@ -106,13 +108,13 @@
                                std::optional<messages::State> next);
   bool adopt(TimePoint now, messages::State next);
   void recordPrimary(std::string const& address, messages::StateResponse const& message);
-  void recordPeerDigest(std::string const& address, PendingRequest const& question,
+  void recordPeerDigest(std::string const& address, PendingRequest const& pending,
                         messages::StateResponse const& message);
-  void countConfirmation(PendingRequest const& question, messages::StateResponse const& message);
-  bool knowsThisStart(PendingRequest const& question, messages::StateResponse const& message) const;
+  void countConfirmation(PendingRequest const& pending, messages::StateResponse const& message);
+  bool knowsOwnIncarnation(PendingRequest const& pending, messages::StateResponse const& message) const;
 };
 
-bool ConfigDelivery::Impl::listed() const {
+bool ConfigDelivery::Impl::isSelfListed() const {
   return state && std::any_of(state->roster.begin(), state->roster.end(), [&](messages::RosterEntry const& entry) {
            return entry.node == self.node && entry.address == self.address;
          });
@@ -123,21 +125,21 @@
   return !confirmedAt || now - *confirmedAt > options.stalenessCheckMs;
 }
 
-/// Whether the peer named the same incarnation records as known here are when it last answered.
-bool ConfigDelivery::Impl::knowsIncarnations(std::string const& address) const {
-  std::map<std::string, std::uint64_t>::const_iterator const found = digestsOfPeers.find(address);
-  return found != digestsOfPeers.end() && found->second == incarnations.digest();
+/// Whether the peer's last answer named the same set of incarnation records as this node has.
+bool ConfigDelivery::Impl::hasSameIncarnationRecords(std::string const& address) const {
+  std::map<std::string, std::uint64_t>::const_iterator const found = peerDigests.find(address);
+  return found != peerDigests.end() && found->second == incarnations.digest();
 }
 
-/// Whether this start of this node is known to a `node` that has caught up and knows nothing newer.
+/// Whether `node`, which had caught up and knew no newer state, has confirmed that it knows this node's incarnation.
 bool ConfigDelivery::Impl::hasConfirmedIncarnation(std::string const& node) const {
   std::map<std::string, std::uint64_t>::const_iterator const found = confirmedIncarnations.find(node);
   return found != confirmedIncarnations.end() && incarnations.trusts(node, found->second);
 }
 
-/// Whether so many nodes have recorded this start that no majority can confirm in the name of the start before.
+/// Whether enough nodes have recorded this incarnation that no majority can count a confirmation by the previous one.
 bool ConfigDelivery::Impl::recovered() const {
-  if (!listed() || !incarnations.trusts(self.node, peerStatus.boot)) {
+  if (!isSelfListed() || !incarnations.trusts(self.node, peerStatus.boot)) {
     return false;
   }
   std::size_t const count = static_cast<std::size_t>(
@@ -158,12 +160,12 @@
   request.parts = partVersionsOf(state);
   request.peerStatuses.push_back(peerStatus);
   request.incarnationsDigest = incarnations.digest();
-  bool const sends = purpose != Purpose::verify && !knowsIncarnations(address);
-  if (sends) {
+  bool const sendsRecords = purpose != Purpose::verify && !hasSameIncarnationRecords(address);
+  if (sendsRecords) {
     request.peerStatuses.back().incarnations = incarnations.list();
   }
   pendingRequests[request.token] = {
-      address, now, purpose, request.incarnationsDigest, sends, incarnations.holds(self.node, peerStatus.boot)};
+      address, now, purpose, request.incarnationsDigest, sendsRecords, incarnations.holds(self.node, peerStatus.boot)};
   return request;
 }
 
@@ -173,7 +175,7 @@
   return request;
 }
 
-/// What each response names, whoever it goes to.
+/// The fields that are the same in every response.
 messages::StateResponse ConfigDelivery::Impl::makeResponse() const {
   messages::StateResponse response;
   response.node = self.node;
@@ -186,11 +188,11 @@
 void ConfigDelivery::Impl::expire(TimePoint now) {
   targets.expire(now);
   std::erase_if(pendingRequests, [&](std::pair<std::uint64_t const, PendingRequest> const& entry) {
-    bool const late = now - entry.second.at > options.replyMs;
-    if (late) {
+    bool const expired = now - entry.second.at > options.replyMs;
+    if (expired) {
       targets.suspect(entry.second.address, now + options.suspectMs);
     }
-    return late;
+    return expired;
   });
   followers.expire(now, options.followerMs);
 }
@@ -198,33 +200,33 @@
 void ConfigDelivery::Impl::poll(TimePoint now, std::vector<messages::Peer> const& peers, std::vector<Outgoing>& sends) {
   nextPollAt = now + options.pollMs;
   pollNow = false;
-  messages::Peer const here{self.node, self.address, self.zone, messages::gatewayRole, peerStatus.boot, 0};
+  messages::Peer const selfPeer{self.node, self.address, self.zone, messages::gatewayRole, peerStatus.boot, 0};
   static std::vector<messages::RosterEntry> const noRoster;
-  std::string target = targets.zoneOwner(here, state ? state->roster : noRoster, peers);
-  std::string const control = targets.controller(primaryAddress, peers);
+  std::string target = targets.zoneOwner(selfPeer, state ? state->roster : noRoster, peers);
+  std::string const controllerAddress = targets.controller(primaryAddress, peers);
   bool const overdue = confirmationOverdue(now);
   if (target.empty()) {
-    target = control;
+    target = controllerAddress;
     bool const remote = std::any_of(peers.begin(), peers.end(), [&](messages::Peer const& peer) {
-      return peer.address == control && peer.zone != self.zone;
+      return peer.address == controllerAddress && peer.zone != self.zone;
     });
     nextPollAt = state && remote && !overdue ? now + options.remotePollMs : nextPollAt;
   }
   if (!target.empty()) {
-    sends.push_back({target, target == control ? makeReport(now, target) : makeRequest(now, target)});
+    sends.push_back({target, target == controllerAddress ? makeReport(now, target) : makeRequest(now, target)});
   }
-  if ((overdue || peerStatus.draining) && !control.empty() && control != target) {
-    sends.push_back({control, makeReport(now, control, Purpose::report)});
+  if ((overdue || peerStatus.draining) && !controllerAddress.empty() && controllerAddress != target) {
+    sends.push_back({controllerAddress, makeReport(now, controllerAddress, Purpose::report)});
   }
 }
 
-/// A node without any state asks one other gateway beside those that it polls.
-void ConfigDelivery::Impl::askForFirstState(TimePoint now, std::vector<messages::Peer> const& peers,
-                                            std::vector<Outgoing>& sends) {
-  if (state || now < nextFirstStateAt) {
+/// A node without any state asks one random gateway in addition to the nodes that it polls.
+void ConfigDelivery::Impl::requestFirstState(TimePoint now, std::vector<messages::Peer> const& peers,
+                                             std::vector<Outgoing>& sends) {
+  if (state || now < nextFirstStateRequestAt) {
     return;
   }
-  nextFirstStateAt = now + options.replyMs;
+  nextFirstStateRequestAt = now + options.replyMs;
   std::vector<std::string> gateways;
   for (messages::Peer const& peer : peers) {
     if (peer.role == messages::gatewayRole && peer.address != self.address) {
@@ -237,8 +239,8 @@
   }
 }
 
-/// A node whose state is not confirmed by the primary asks nodes of the roster whether they know a newer one.
-void ConfigDelivery::Impl::askRoster(TimePoint now, std::vector<Outgoing>& sends) {
+/// If the primary's confirmation is overdue, asks nodes of the roster whether they know a newer state.
+void ConfigDelivery::Impl::sendStalenessChecks(TimePoint now, std::vector<Outgoing>& sends) {
   if (!state || !confirmationOverdue(now) || (!caughtUp && now - *startedAt < options.recoverAfterMs)) {
     return;
   }
@@ -279,8 +281,8 @@
   if (next.version() <= stateVersion()) {
     return false;
   }
-  bool const served = state && state->evacuatedZones == next.evacuatedZones &&
-                      configurationVersionOf(*state) == configurationVersionOf(next);
+  bool const servingPartsUnchanged = state && state->evacuatedZones == next.evacuatedZones &&
+                                     configurationVersionOf(*state) == configurationVersionOf(next);
   if (state) {
     feed.replaced(now, *state);
   }
@@ -289,7 +291,7 @@
   if (stateVersion() >= newestKnown) {
     fetch.arrived();
   }
-  pollNow = pollNow || !served;
+  pollNow = pollNow || !servingPartsUnchanged;
   return true;
 }
 
@@ -308,17 +310,17 @@
   if (message.token == 0 || found == pendingRequests.end()) {
     return out;
   }
-  PendingRequest const question = found->second;
-  recordPeerDigest(address, question, message);
+  PendingRequest const pending = found->second;
+  recordPeerDigest(address, pending, message);
   targets.answered(address);
   pendingRequests.erase(found);
   if (StateVersion{message.epoch, message.sequence} > stateVersion()) {
-    if (question.purpose != Purpose::follow) {
-      fetch.newerKnown(now, address);
+    if (pending.purpose != Purpose::follow) {
+      fetch.recordNewer(now, address);
     }
     return out;
   }
-  countConfirmation(question, message);
+  countConfirmation(pending, message);
   return out;
 }
 
@@ -331,34 +333,34 @@
   }
 }
 
-/// A peer that lacked records which were not sent along has counted nothing of the poll: it is polled again at once,
-/// and this time is sent them.
-void ConfigDelivery::Impl::recordPeerDigest(std::string const& address, PendingRequest const& question,
+/// A peer that lacks incarnation records which the poll did not carry has not counted the poll as a confirmation. It is
+/// polled again at once, this time with the records.
+void ConfigDelivery::Impl::recordPeerDigest(std::string const& address, PendingRequest const& pending,
                                             messages::StateResponse const& message) {
-  if (digestsOfPeers.size() >= maxPeersKnown) {
-    digestsOfPeers.clear();
+  if (peerDigests.size() >= maxPeersKnown) {
+    peerDigests.clear();
   }
-  digestsOfPeers[address] = message.incarnationsDigest;
-  bool const counted = question.sentIncarnations || message.incarnationsDigest == question.incarnationsDigest;
-  bool const confirms = question.purpose == Purpose::follow || question.purpose == Purpose::report;
-  pollNow = pollNow || (confirms && !counted);
+  peerDigests[address] = message.incarnationsDigest;
+  bool const countedByPeer = pending.sentIncarnations || message.incarnationsDigest == pending.incarnationsDigest;
+  bool const confirms = pending.purpose == Purpose::follow || pending.purpose == Purpose::report;
+  pollNow = pollNow || (confirms && !countedByPeer);
 }
 
-bool ConfigDelivery::Impl::knowsThisStart(PendingRequest const& question,
-                                          messages::StateResponse const& message) const {
-  bool const sameRecords = message.incarnationsDigest == question.incarnationsDigest && question.ownStartRecorded;
+bool ConfigDelivery::Impl::knowsOwnIncarnation(PendingRequest const& pending,
+                                               messages::StateResponse const& message) const {
+  bool const sameRecords = message.incarnationsDigest == pending.incarnationsDigest && pending.ownIncarnationRecorded;
   return sameRecords || std::any_of(message.incarnations.begin(), message.incarnations.end(),
                                     [&](messages::IncarnationRecord const& incarnation) {
                                       return incarnation.node == self.node && incarnation.boot == peerStatus.boot;
                                     });
 }
 
-/// The answer of a node that knows no newer state than this one.
-void ConfigDelivery::Impl::countConfirmation(PendingRequest const& question, messages::StateResponse const& message) {
+/// Processes the answer of a node that knows no newer state than this one.
+void ConfigDelivery::Impl::countConfirmation(PendingRequest const& pending, messages::StateResponse const& message) {
   if (message.hasAge) {
-    freshness.confirmedByPrimary(question.at - Ms(static_cast<long>(message.ageMs)));
+    freshness.confirmedByPrimary(pending.at - Ms(static_cast<long>(message.ageMs)));
   }
-  if (question.purpose == Purpose::recover && message.caughtUp && knowsThisStart(question, message) && !caughtUp) {
+  if (pending.purpose == Purpose::recover && message.caughtUp && knowsOwnIncarnation(pending, message) && !caughtUp) {
     confirmedIncarnations[message.node] = message.boot;
   }
   std::optional<TimePoint> const confirmedAt = freshness.primaryConfirmedAt();
@@ -368,7 +370,7 @@
   }
   caughtUp = caughtUp || confirmedSinceStart || recovered();
   if (message.caughtUp) {
-    freshness.confirmedByPeer(message.node, question.at);
+    freshness.confirmedByPeer(message.node, pending.at);
   }
 }
 
@@ -380,9 +382,9 @@
   impl_->peerStatus = {self.node, boot, false, {}};
   impl_->random.seed(seed);
   impl_->lastToken = impl_->random() >> 20;
-  StalenessCheckOptions check;
-  check.replyMs = options.replyMs;
-  impl_->stalenessCheck = StalenessCheck(check, self.node, impl_->random() >> 20);
+  StalenessCheckOptions checkOptions;
+  checkOptions.replyMs = options.replyMs;
+  impl_->stalenessCheck = StalenessCheck(checkOptions, self.node, impl_->random() >> 20);
 }
 
 ConfigDelivery::~ConfigDelivery() = default;
@@ -402,8 +404,8 @@
   if (now >= impl.nextPollAt || impl.pollNow) {
     impl.poll(now, peers, out.sends);
   }
-  impl.askForFirstState(now, peers, out.sends);
-  impl.askRoster(now, out.sends);
+  impl.requestFirstState(now, peers, out.sends);
+  impl.sendStalenessChecks(now, out.sends);
   impl.fetchNewerState(now, out.sends);
   return out;
 }
@@ -422,15 +424,15 @@
       break;
     }
   }
-  bool const confirms = impl.incarnations.learn(message.incarnationsDigest, peerStatus.incarnations);
+  bool const mayConfirm = impl.incarnations.learn(message.incarnationsDigest, peerStatus.incarnations);
   if (message.recover && impl.caughtUp && peerStatus.boot != 0 && impl.state &&
       messages::isListed(impl.state->roster, peerStatus.node)) {
     impl.incarnations.record(peerStatus.node, peerStatus.boot);
   }
   if (message.follows) {
-    messages::Follower const follower = confirms ? message.self : withoutVersion(message.self);
-    bool const confirmedNewest = impl.followers.record(now, follower, peerStatus, impl.stateVersion());
-    impl.pollNow = impl.pollNow || confirmedNewest;
+    messages::Follower const follower = mayConfirm ? message.self : withoutVersion(message.self);
+    bool const newlyConfirmed = impl.followers.record(now, follower, peerStatus, impl.stateVersion());
+    impl.pollNow = impl.pollNow || newlyConfirmed;
   }
   out.sends.push_back({message.self.address, impl.answer(now, message)});
   return out;
@@ -465,7 +467,7 @@
   out.versionsBehind =
       impl.newestKnown > impl.stateVersion() ? impl.newestKnown.sequence - impl.stateVersion().sequence : 0;
   out.ageMs = confirmedAt ? std::chrono::duration_cast<Ms>(now - *confirmedAt) : Ms::max();
-  if (!impl.listed() && !impl.peerStatus.draining) {
+  if (!impl.isSelfListed() && !impl.peerStatus.draining) {
     out.freshness = ConfigFreshness::notMember;
     return out;
   }
@@ -474,7 +476,7 @@
     return out;
   }
   std::optional<TimePoint> const majorityAt =
-      impl.listed() ? impl.freshness.majorityConfirmedAt(impl.state->roster, impl.self.node) : std::nullopt;
+      impl.isSelfListed() ? impl.freshness.majorityConfirmedAt(impl.state->roster, impl.self.node) : std::nullopt;
   bool const majorityIsFresh =
       impl.caughtUp && majorityAt && (*majorityAt == TimePoint::max() || now - *majorityAt <= impl.options.currentMs);
   out.freshness = majorityIsFresh ? ConfigFreshness::confirmedByMajority : ConfigFreshness::stale;
--- a/libs/distribution/src/follower_reports.cpp
+++ b/libs/distribution/src/follower_reports.cpp
@@ -9,13 +9,13 @@
 bool FollowerReports::record(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status,
                              StateVersion const& newest) {
   Report& report = reports_[follower.node];
-  StateVersion const had{report.follower.epoch, report.follower.sequence};
-  StateVersion const has{follower.epoch, follower.sequence};
+  StateVersion const previousVersion{report.follower.epoch, report.follower.sequence};
+  StateVersion const version{follower.epoch, follower.sequence};
   report = {follower, status, now};
   if (reports_.size() > maxFollowers) {
     reports_.erase(reports_.begin());
   }
-  return had != has && has == newest;
+  return previousVersion != version && version == newest;
 }
 
 void FollowerReports::expire(TimePoint now, std::chrono::milliseconds maxAge) {
--- a/libs/distribution/src/follower_reports.h
+++ b/libs/distribution/src/follower_reports.h
@@ -9,20 +9,21 @@
 
 namespace limeramp::distribution {
 
-/// What the nodes that follow this one have last reported. The owner of a zone passes it on to the primary with its own
-/// reports, so that the primary is polled by one node of a zone instead of by all.
+/// The last report of each node that follows this one. A zone owner forwards them to the primary with its own reports,
+/// so that one node of a zone polls the primary instead of all.
 class FollowerReports {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
   static constexpr std::size_t maxFollowers = 1000;
 
-  /// Takes in one report. True if the follower has just come to confirm `newest`: worth telling the primary at once.
+  /// Stores a report. Returns true if the follower confirms `newest` for the first time, which the primary should learn
+  /// at once.
   bool record(TimePoint now, messages::Follower const& follower, messages::PeerStatus const& status,
               messages::StateVersion const& newest);
   /// Drops followers that have been silent for longer than `maxAge`.
   void expire(TimePoint now, std::chrono::milliseconds maxAge);
-  /// Adds all reports to a request to the primary. What followers know of incarnations is left out: it is in the
-  /// sender's own records.
+  /// Adds all reports to a request to the primary. The followers' incarnation records are left out: the sender has
+  /// merged them into its own.
   void addTo(messages::StateRequest& request) const;
 
  private:
--- a/libs/distribution/src/freshness_tracker.cpp
+++ b/libs/distribution/src/freshness_tracker.cpp
@@ -17,9 +17,9 @@
 }
 
 bool FreshnessTracker::peerConfirmedWithin(TimePoint now, std::string const& node,
-                                           std::chrono::milliseconds time) const {
+                                           std::chrono::milliseconds maxAge) const {
   std::map<std::string, TimePoint>::const_iterator const found = peerConfirmedAt_.find(node);
-  return found != peerConfirmedAt_.end() && now - found->second < time;
+  return found != peerConfirmedAt_.end() && now - found->second < maxAge;
 }
 
 std::optional<FreshnessTracker::TimePoint> FreshnessTracker::majorityConfirmedAt(
--- a/libs/distribution/src/freshness_tracker.h
+++ b/libs/distribution/src/freshness_tracker.h
@@ -11,26 +11,26 @@
 
 namespace limeramp::distribution {
 
-/// Until when this node's state is known to have been the newest one, by the primary's word or by that of other nodes.
+/// Tracks up to which time this node's state is known to have been the newest, as confirmed by the primary or by peers.
 ///
-/// Every time kept here is the moment at which this node sent a question, read on its own steady clock, or an earlier
-/// one: an answer that was long on its way proves nothing about the time after the question.
+/// Every time kept here is the moment at which this node sent a request, on its own steady clock, or an earlier one: a
+/// delayed answer proves nothing about the time after the request.
 class FreshnessTracker {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
   static constexpr std::size_t maxPeers = 2000;
 
-  /// The primary had no newer state at `at`.
+  /// Records that the primary had no newer state at `at`.
   void confirmedByPrimary(TimePoint at);
-  /// `node`, which itself had caught up, knew no newer state when it was asked at `askedAt`.
+  /// Records that `node`, which had caught up, knew no newer state in answer to a request sent at `askedAt`.
   void confirmedByPeer(std::string const& node, TimePoint askedAt);
 
   std::optional<TimePoint> primaryConfirmedAt() const { return primaryConfirmedAt_; }
-  bool peerConfirmedWithin(TimePoint now, std::string const& node, std::chrono::milliseconds time) const;
+  bool peerConfirmedWithin(TimePoint now, std::string const& node, std::chrono::milliseconds maxAge) const;
 
-  /// Since when `self` and the nodes that confirmed are together a majority of the roster: no other majority has
-  /// accepted a newer state before that time (docs/control.md, "When nodes hear nothing"). Nothing if they are none;
-  /// TimePoint::max() if `self` alone is one.
+  /// The latest time at which `self` and the peers that have confirmed since form a majority of the roster: no other
+  /// majority accepted a newer state before it (docs/control.md, "When nodes hear nothing"). Returns nullopt if they
+  /// form no majority, and TimePoint::max() if `self` alone is one.
   std::optional<TimePoint> majorityConfirmedAt(std::vector<messages::RosterEntry> const& roster,
                                                std::string const& self) const;
 
--- a/libs/distribution/src/incarnations.cpp
+++ b/libs/distribution/src/incarnations.cpp
@@ -30,8 +30,8 @@
 }
 
 bool IncarnationRecords::learn(std::uint64_t senderDigest, std::vector<messages::IncarnationRecord> const& received) {
-  bool const givesAll = senderDigest == 0 || senderDigest == emptyDigest || !received.empty();
-  bool const known = givesAll || senderDigest == digest_;
+  bool const sentInFull = senderDigest == 0 || senderDigest == emptyDigest || !received.empty();
+  bool const known = sentInFull || senderDigest == digest_;
   merge(received);
   return known;
 }
--- a/libs/distribution/src/peer_views.cpp
+++ b/libs/distribution/src/peer_views.cpp
@@ -22,15 +22,15 @@
   messages::Peer self;
   std::vector<std::string> seeds;
   std::vector<std::string> foundingSeeds;
-  bool seedsAreNew = false;
+  bool seedsChanged = false;
   std::mt19937_64 random;
   std::map<std::string, Entry> entries;
   std::map<std::string, TimePoint> lastReceivedAt;
-  TimePoint nextAt{};
+  TimePoint nextShuffleAt{};
   std::optional<TimePoint> startedAt;
-  std::size_t shuffles = 0;
+  std::size_t shuffleCount = 0;
 
-  void forget(TimePoint now) {
+  void dropOldEntries(TimePoint now) {
     std::erase_if(entries, [&](std::pair<std::string const, Entry> const& entry) {
       return now - entry.second.aliveAt > options.forgetMs;
     });
@@ -41,13 +41,13 @@
     }
   }
 
-  bool isRemoteZone(std::string const& address) const {
+  bool isInOtherZone(std::string const& address) const {
     return std::any_of(entries.begin(), entries.end(), [&](std::pair<std::string const, Entry> const& entry) {
       return entry.second.peer.address == address && entry.second.peer.zone != self.zone;
     });
   }
 
-  std::string choose(bool remote) {
+  std::string chooseNeighbour(bool remote) {
     std::vector<std::string> addresses;
     for (std::pair<std::string const, Entry> const& entry : entries) {
       if (entries.size() < options.fewPeers || remote == (entry.second.peer.zone != self.zone)) {
@@ -65,7 +65,7 @@
       out.push_back(std::move(peer));
     }
     std::shuffle(out.begin(), out.end(), random);
-    out.resize(std::min(out.size(), isRemoteZone(to) ? options.maxShuffledRemote : options.maxShuffled));
+    out.resize(std::min(out.size(), isInOtherZone(to) ? options.maxShuffledRemote : options.maxShuffled));
     out.push_back(self);
     return out;
   }
@@ -83,7 +83,7 @@
 }
 
 void PeerViews::setSeeds(std::vector<std::string> const& seeds) {
-  impl_->seedsAreNew = impl_->seeds != seeds;
+  impl_->seedsChanged = impl_->seeds != seeds;
   impl_->seeds = seeds;
 }
 
@@ -94,27 +94,28 @@
 std::vector<Outgoing> PeerViews::tick(TimePoint now, bool eager) {
   std::vector<Outgoing> out;
   impl_->startedAt = impl_->startedAt.value_or(now);
-  if (now < impl_->nextAt) {
+  if (now < impl_->nextShuffleAt) {
     return out;
   }
-  impl_->nextAt = now + impl_->options.shuffleMs;
-  impl_->forget(now);
-  ++impl_->shuffles;
+  impl_->nextShuffleAt = now + impl_->options.shuffleMs;
+  impl_->dropOldEntries(now);
+  ++impl_->shuffleCount;
   std::vector<std::string> targets;
-  bool const few = impl_->entries.size() < impl_->options.fewPeers;
+  bool const hasFewPeers = impl_->entries.size() < impl_->options.fewPeers;
   std::size_t const remoteShuffleEvery = impl_->options.remoteShuffleEvery;
-  bool const remote = impl_->shuffles % remoteShuffleEvery == 0;
-  bool const asksSeed = impl_->shuffles % (4 * remoteShuffleEvery) == 0;
-  if (std::string const chosen = impl_->choose(remote); !chosen.empty() && !(asksSeed && !few)) {
+  bool const remote = impl_->shuffleCount % remoteShuffleEvery == 0;
+  bool const contactsSeed = impl_->shuffleCount % (4 * remoteShuffleEvery) == 0;
+  if (std::string const chosen = impl_->chooseNeighbour(remote); !chosen.empty() && !(contactsSeed && !hasFewPeers)) {
     targets.push_back(chosen);
   }
-  if (few || asksSeed) {
-    std::string const& seed = impl_->seeds[impl_->shuffles / (few ? 1 : 4 * remoteShuffleEvery) % impl_->seeds.size()];
+  if (hasFewPeers || contactsSeed) {
+    std::string const& seed =
+        impl_->seeds[impl_->shuffleCount / (hasFewPeers ? 1 : 4 * remoteShuffleEvery) % impl_->seeds.size()];
     if (seed != impl_->self.address) {
       targets.push_back(seed);
     }
   }
-  if (std::exchange(impl_->seedsAreNew, false) || eager) {
+  if (std::exchange(impl_->seedsChanged, false) || eager) {
     targets.insert(targets.end(), impl_->seeds.begin(), impl_->seeds.end());
     std::erase(targets, impl_->self.address);
   }
@@ -141,7 +142,7 @@
       impl_->entries[peer.node] = {peer, aliveAt};
     }
   }
-  impl_->forget(now);
+  impl_->dropOldEntries(now);
   if (message.reply) {
     return {};
   }
@@ -165,8 +166,9 @@
         return seed == impl_->self.address ||
                (found != impl_->lastReceivedAt.end() && now - found->second <= impl_->options.seedAliveMs);
       }));
-  bool const waited = impl_->startedAt && now - *impl_->startedAt >= impl_->options.loneFoundingMs;
-  return aliveSeeds == impl_->foundingSeeds.size() || (waited && 2 * aliveSeeds > impl_->foundingSeeds.size());
+  bool const majoritySuffices = impl_->startedAt && now - *impl_->startedAt >= impl_->options.loneFoundingMs;
+  return aliveSeeds == impl_->foundingSeeds.size() ||
+         (majoritySuffices && 2 * aliveSeeds > impl_->foundingSeeds.size());
 }
 
 }  // namespace limeramp::distribution
--- a/libs/distribution/src/poll_targets.cpp
+++ b/libs/distribution/src/poll_targets.cpp
@@ -7,7 +7,7 @@
 namespace limeramp::distribution {
 namespace {
 
-/// The nodes of the zone by name: those of the roster or, before one is known, the gateways that were heard of.
+/// Addresses of the zone's nodes by name: those of the roster or, before one is known, the gateways in `peers`.
 std::map<std::string, std::string> addressesOfZone(messages::Peer const& self,
                                                    std::vector<messages::RosterEntry> const& roster,
                                                    std::vector<messages::Peer> const& peers) {
--- a/libs/distribution/src/poll_targets.h
+++ b/libs/distribution/src/poll_targets.h
@@ -12,8 +12,8 @@
 
 namespace limeramp::distribution {
 
-/// Whom a node polls for the state: the owner of the configuration in its zone if that is another node, otherwise the
-/// primary. Peers that have left a poll unanswered are passed over for a while.
+/// Selects the node to poll for the state: the owner of the configuration in this node's zone or, if this node is the
+/// owner, the primary. Peers that did not answer a poll are suspected for a while and not selected.
 class PollTargets {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
@@ -22,7 +22,8 @@
   void answered(std::string const& address) { suspectedUntil_.erase(address); }
   void expire(TimePoint now);
 
-  /// The address of the zone's owner; empty if this node is the owner, or if no owner before it answers.
+  /// The address of the zone's owner; empty if this node is the owner, also because all nodes ranked before it are
+  /// suspected.
   std::string zoneOwner(messages::Peer const& self, std::vector<messages::RosterEntry> const& roster,
                         std::vector<messages::Peer> const& peers) const;
   /// The address of the primary or, while it does not answer, of each known controller in turn. Empty if none is known.
--- a/libs/distribution/src/state_fetch.cpp
+++ b/libs/distribution/src/state_fetch.cpp
@@ -2,18 +2,18 @@
 
 namespace limeramp::distribution {
 
-void StateFetch::newerKnown(TimePoint now, std::string const& address) {
+void StateFetch::recordNewer(TimePoint now, std::string const& address) {
   behindSince_ = behindSince_.value_or(now);
-  from_ = address;
+  source_ = address;
 }
 
-std::optional<std::string> StateFetch::due(TimePoint now, std::chrono::milliseconds patience,
+std::optional<std::string> StateFetch::due(TimePoint now, std::chrono::milliseconds delay,
                                            std::chrono::milliseconds interval) {
-  if (!behindSince_ || now - *behindSince_ < patience || now < nextAt_) {
+  if (!behindSince_ || now - *behindSince_ < delay || now < nextRequestAt_) {
     return std::nullopt;
   }
-  nextAt_ = now + interval;
-  return from_;
+  nextRequestAt_ = now + interval;
+  return source_;
 }
 
 }  // namespace limeramp::distribution
--- a/libs/distribution/src/state_fetch.h
+++ b/libs/distribution/src/state_fetch.h
@@ -6,24 +6,24 @@
 
 namespace limeramp::distribution {
 
-/// Decides when a node that was named a newer state than its own asks for it. Usually the state is on its way already;
-/// only if it does not come in time is the node that named it asked.
+/// Decides when this node requests a newer state that another node has named. Usually that state is already being
+/// delivered; it is requested from the node that named it only if it does not arrive in time.
 class StateFetch {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
 
-  /// The node at `address` knows a newer state.
-  void newerKnown(TimePoint now, std::string const& address);
-  /// The newest state known is here.
+  /// Records that the node at `address` knows a newer state.
+  void recordNewer(TimePoint now, std::string const& address);
+  /// Records that this node has the newest known state.
   void arrived() { behindSince_.reset(); }
 
-  /// Whom to ask now, if the newer state was named `patience` ago or earlier; at most once in `interval`.
-  std::optional<std::string> due(TimePoint now, std::chrono::milliseconds patience, std::chrono::milliseconds interval);
+  /// The address to request the state from now, if it was first named at least `delay` ago; at most once in `interval`.
+  std::optional<std::string> due(TimePoint now, std::chrono::milliseconds delay, std::chrono::milliseconds interval);
 
  private:
   std::optional<TimePoint> behindSince_;
-  std::string from_;
-  TimePoint nextAt_{};
+  std::string source_;
+  TimePoint nextRequestAt_{};
 };
 
 }  // namespace limeramp::distribution
--- a/libs/distribution/src/state_update.cpp
+++ b/libs/distribution/src/state_update.cpp
@@ -29,22 +29,23 @@
 
 messages::RosterDifference differenceOf(std::vector<messages::RosterEntry> const& from,
                                         std::vector<messages::RosterEntry> const& to) {
-  std::unordered_map<std::string, messages::RosterEntry const*> before;
+  std::unordered_map<std::string, messages::RosterEntry const*> entriesByNode;
   for (messages::RosterEntry const& entry : from) {
-    before.emplace(entry.node, &entry);
+    entriesByNode.emplace(entry.node, &entry);
   }
   messages::RosterDifference out;
   for (messages::RosterEntry const& entry : to) {
-    std::unordered_map<std::string, messages::RosterEntry const*>::iterator const found = before.find(entry.node);
-    if (found == before.end() || *found->second != entry) {
+    std::unordered_map<std::string, messages::RosterEntry const*>::iterator const found =
+        entriesByNode.find(entry.node);
+    if (found == entriesByNode.end() || *found->second != entry) {
       out.put.push_back(entry);
     }
-    if (found != before.end()) {
-      before.erase(found);
+    if (found != entriesByNode.end()) {
+      entriesByNode.erase(found);
     }
   }
   for (messages::RosterEntry const& entry : from) {
-    if (before.contains(entry.node)) {
+    if (entriesByNode.contains(entry.node)) {
       out.removed.push_back(entry.node);
     }
   }
@@ -55,14 +56,14 @@
                                                    messages::RosterDifference const& difference) {
   std::unordered_set<std::string> const removed(difference.removed.begin(), difference.removed.end());
   std::erase_if(roster, [&](messages::RosterEntry const& entry) { return removed.contains(entry.node); });
-  std::unordered_map<std::string, std::size_t> place;
+  std::unordered_map<std::string, std::size_t> indexByNode;
   for (std::size_t index = 0; index < roster.size(); ++index) {
-    place.emplace(roster[index].node, index);
+    indexByNode.emplace(roster[index].node, index);
   }
   for (messages::RosterEntry const& entry : difference.put) {
-    std::unordered_map<std::string, std::size_t>::const_iterator const found = place.find(entry.node);
-    if (found == place.end()) {
-      place.emplace(entry.node, roster.size());
+    std::unordered_map<std::string, std::size_t>::const_iterator const found = indexByNode.find(entry.node);
+    if (found == indexByNode.end()) {
+      indexByNode.emplace(entry.node, roster.size());
       roster.push_back(entry);
     } else {
       roster[found->second] = entry;
@@ -78,12 +79,12 @@
   }
   std::erase_if(entries_, [&](Entry const& entry) { return entry.version == version; });
   entries_.push_back({version, state.roster});
-  std::size_t kept = 0;
+  std::size_t totalEntries = 0;
   for (Entry const& entry : entries_) {
-    kept += entry.roster.size();
+    totalEntries += entry.roster.size();
   }
-  while (entries_.size() > 2 && (entries_.size() > maxRosters || kept > maxRosterEntries)) {
-    kept -= entries_.front().roster.size();
+  while (entries_.size() > 2 && (entries_.size() > maxRosters || totalEntries > maxRosterEntries)) {
+    totalEntries -= entries_.front().roster.size();
     entries_.pop_front();
   }
 }
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-/// A member that was away catches up, whatever it missed, within a bound of time and of bytes; and a change costs each
-/// node what it lacks, not the whole state.
+/// A member that was down catches up within bounds of time and bytes, whatever changes it missed. A change costs each
+/// node the bytes of the changed part, not of the whole state.
 namespace {
 
 using namespace limeramp;
@@ -22,15 +22,15 @@
 
 std::string smallDocument(std::uint64_t number) { return "configuration " + std::to_string(number); }
 
-/// A configuration of `documentBytes` that differs in one number.
+/// A configuration of `documentBytes` bytes; two of them differ only in the number.
 std::string largeDocument(std::uint64_t number) {
   std::string document = smallDocument(number) + " ";
   document.resize(documentBytes, 'x');
   return document;
 }
 
-/// A language that takes any text, so that documents may have any size.
-config::ConfigSchema anyText() {
+/// A schema that accepts any text, so that documents may have any size.
+config::ConfigSchema schemaOfAnyText() {
   config::ConfigSchema schema = config::nativeConfigSchema();
   schema.verbatim = true;
   schema.check = [](std::string const&) {
@@ -60,12 +60,12 @@
 }
 
 bool startServing(FleetSimulation& fleet, std::size_t gateways, std::string const& document) {
-  fleet.schema = anyText();
+  fleet.schema = schemaOfAnyText();
   fleet.startAll();
   return retryUntilTaken(fleet, "first", document) && fleet.awaitServing(gateways, Ms(10'000));
 }
 
-/// The bytes of all messages that carry a state or a part of one, since the traffic was last cleared.
+/// The total size of all messages with a state or a part of one since the traffic counters were last cleared.
 std::size_t stateBytes(FleetSimulation const& fleet) {
   std::size_t bytes = 0;
   for (char const* const kind : {"News with state", "StateUpdate"}) {
@@ -81,8 +81,8 @@
   std::size_t roster = 0;
 };
 
-/// What one change of each sort costs one node, on average over ten changes.
-BytesPerChange measureChanges(FleetSimulation& fleet, std::size_t controllers, std::size_t gateways) {
+/// The average bytes sent to one node for one change of each kind, over ten changes of each.
+BytesPerChange measureBytesPerChange(FleetSimulation& fleet, std::size_t controllers, std::size_t gateways) {
   constexpr std::size_t changes = 10;
   BytesPerChange out;
   fleet.weighs = true;
@@ -109,7 +109,7 @@
   return out;
 }
 
-TEST(CatchUp, AChangeCostsANodeTheBytesOfWhatChanged) {
+TEST(CatchUp, ChangeCostsANodeTheBytesOfTheChangedPart) {
   for (std::size_t const gateways : {24u, 85u}) {
     FleetSimulation fleet(11, 3, gateways, 3);
     ASSERT_TRUE(startServing(fleet, gateways, largeDocument(0)));
@@ -118,7 +118,7 @@
     }
     ASSERT_TRUE(retryUntilTaken(fleet, "large", largeDocument(0)));
     fleet.run(Ms(1000));
-    BytesPerChange const cost = measureChanges(fleet, 3, gateways);
+    BytesPerChange const cost = measureBytesPerChange(fleet, 3, gateways);
     std::printf(
         "seed 11, %zu nodes, document of %zu bytes, 256 receipts: a node is sent %zu bytes for a change of the "
         "configuration, %zu for a zone order, %zu for a replaced node\n",
@@ -130,7 +130,7 @@
   }
 }
 
-/// States as a primary publishes them: each differs from the one before in one part.
+/// Generates states as a primary publishes them: each differs from the previous one in one part.
 class RandomHistory {
  public:
   explicit RandomHistory(std::uint64_t seed) : random_(seed) { state_.epoch = 1; }
@@ -175,8 +175,8 @@
   messages::State state_;
 };
 
-/// What a node keeps of a state: no receipts, and rosters as sets.
-messages::State asKept(messages::State state) {
+/// The state as a node keeps it, for comparison: without receipts, and with rosters sorted because they are sets.
+messages::State normalized(messages::State state) {
   state.receipts.clear();
   for (std::vector<messages::RosterEntry>* const roster : {&state.roster, &state.priorRoster}) {
     std::sort(
@@ -192,26 +192,26 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     RandomHistory history(seed);
     distribution::RosterHistory rosters;
-    std::vector<std::optional<messages::State>> known{std::nullopt};
+    std::vector<std::optional<messages::State>> followers{std::nullopt};
     for (int round = 0; round < 60; ++round) {
       messages::State const newest = history.next();
-      for (std::optional<messages::State> const& follower : known) {
+      for (std::optional<messages::State> const& follower : followers) {
         messages::StateUpdate const update =
             distribution::updateFor(newest, distribution::partVersionsOf(follower), rosters, {});
         std::optional<messages::State> const reached = distribution::applyUpdate(follower, update);
         ASSERT_TRUE(reached) << seed << " " << round;
-        EXPECT_EQ(asKept(*reached), asKept(newest)) << seed << " " << round;
+        EXPECT_EQ(normalized(*reached), normalized(newest)) << seed << " " << round;
         (update.document || update.rosterBaseSequence == 0 ? snapshots : differences) += 1;
       }
       rosters.remember(newest);
-      known.push_back(newest);
+      followers.push_back(newest);
     }
   }
   std::printf("seeds 1 to 200: %zu followers were sent differences alone, %zu a whole part\n", differences, snapshots);
   EXPECT_GT(differences, 1000u);
 }
 
-TEST(StateUpdate, IsLeftIfItBuildsOnWhatIsNotHere) {
+TEST(StateUpdate, IsIgnoredIfItsBaseIsNotPresent) {
   RandomHistory history(5);
   distribution::RosterHistory rosters;
   messages::State older = history.next();
@@ -238,7 +238,7 @@
   EXPECT_FALSE(distribution::applyUpdate(std::nullopt, update));
 }
 
-TEST(StateUpdate, OfAnOlderVersionIsLeft) {
+TEST(StateUpdate, OfAnOlderVersionIsIgnored) {
   RandomHistory history(9);
   messages::State const older = history.next();
   messages::State const newer = history.next();
@@ -249,8 +249,8 @@
   EXPECT_EQ(delivery.state()->version(), newer.version());
 }
 
-/// Poll as it was before parts of a state had versions.
-struct EarlierPoll {
+/// The poll message ("Poll") of the software version before the parts of a state had their own versions.
+struct PreviousPoll {
   static constexpr char const* name = "Poll";
   std::uint64_t token = 0;
   messages::Follower self;
@@ -267,11 +267,11 @@
   }
 };
 
-TEST(EarlierVersions, APollWithoutPartsIsAnsweredWithTheWholeStateButItsReceipts) {
-  EarlierPoll earlier;
+TEST(EarlierVersions, PollWithoutPartsIsAnsweredWithTheWholeStateWithoutReceipts) {
+  PreviousPoll earlier;
   earlier.self = {"m1", "10.0.0.1:1", "z1", 1, 0};
   absl::StatusOr<messages::StateRequest> const poll =
-      messages::unpack<messages::StateRequest>(messages::pack(earlier), messages::schemaOf<EarlierPoll>());
+      messages::unpack<messages::StateRequest>(messages::pack(earlier), messages::schemaOf<PreviousPoll>());
   ASSERT_TRUE(poll.ok());
   EXPECT_FALSE(poll->parts);
   EXPECT_TRUE(poll->follows);
@@ -292,13 +292,13 @@
   EXPECT_TRUE(std::get<messages::StateResponse>(pushes[0].message).state);
 }
 
-TEST(EarlierVersions, ANodeOfAnEarlierVersionReadsThePollAndItsWholeStateIsTaken) {
+TEST(EarlierVersions, PreviousVersionReadsThePollAndItsWholeStateIsAccepted) {
   messages::StateRequest poll;
   poll.token = 9;
   poll.self = {"m1", "10.0.0.1:1", "z1", 4, 2};
   poll.parts = messages::PartVersions{4, 1, 3, 9};
-  absl::StatusOr<EarlierPoll> const earlier =
-      messages::unpack<EarlierPoll>(messages::pack(poll), messages::schemaOf<messages::StateRequest>());
+  absl::StatusOr<PreviousPoll> const earlier =
+      messages::unpack<PreviousPoll>(messages::pack(poll), messages::schemaOf<messages::StateRequest>());
   ASSERT_TRUE(earlier.ok());
   EXPECT_EQ(earlier->self.sequence, 2u);
   distribution::ConfigDelivery delivery({}, {"m1", "10.0.0.1:1", "z1", 0, 0}, 7, 1);
@@ -310,7 +310,7 @@
   EXPECT_EQ(delivery.state()->version(), response.state->version());
 }
 
-/// The time a gateway needs, from its start, until it has the newest version; `limit` if it takes longer.
+/// The time from now until the gateway serves the newest version; about `limit` if it takes longer.
 Ms catchUpTime(FleetSimulation& fleet, std::size_t index, Ms limit) {
   TimePoint const began = fleet.network.now();
   while (fleet.network.now() - began < limit) {
@@ -325,25 +325,26 @@
   return std::chrono::duration_cast<Ms>(fleet.network.now() - began);
 }
 
-/// Complains if a machine leads with a state that is older than what was acknowledged before it began to lead.
-void checkLeaders(FleetSimulation& fleet, std::vector<std::string>& complaints, messages::State const& published) {
+/// Adds a complaint if a primary publishes a configuration older than the newest acknowledged one.
+void checkPublishedVersion(FleetSimulation& fleet, std::vector<std::string>& complaints,
+                           messages::State const& published) {
   config::Version const version{published.configurationEpoch, published.configurationSequence};
   if (version < fleet.newestAcknowledged()) {
     complaints.push_back("a primary publishes " + version.text() + " after " + fleet.newestAcknowledged().text());
   }
 }
 
-TEST(CatchUp, MembersAwayForAnyPartOfFiveHundredChangesComeBackAndLead) {
+TEST(CatchUp, RestartedMembersCatchUpAndLeadDuringFiveHundredChanges) {
   Ms slowest{0};
   std::size_t taken = 0;
   std::size_t takeovers = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     FleetSimulation fleet(seed, 4, 9, 3);
     std::vector<std::string> complaints;
-    fleet.onPublished = [&](messages::State const& published) { checkLeaders(fleet, complaints, published); };
+    fleet.onPublished = [&](messages::State const& published) { checkPublishedVersion(fleet, complaints, published); };
     ASSERT_TRUE(startServing(fleet, 9, smallDocument(0))) << seed;
-    std::optional<std::size_t> awayController;
-    std::set<std::size_t> awayGateways;
+    std::optional<std::size_t> stoppedController;
+    std::set<std::size_t> stoppedGateways;
     for (std::uint64_t number = 1; number <= 500; ++number) {
       bool const order = number % 4 == 0;
       taken += isTaken(fleet, order ? fleet.order("z1", number % 8 == 0)
@@ -351,27 +352,27 @@
                    ? 1
                    : 0;
       std::size_t const gateway = 4 + fleet.network.roll(9);
-      if (awayGateways.contains(gateway)) {
-        awayGateways.erase(gateway);
+      if (stoppedGateways.contains(gateway)) {
+        stoppedGateways.erase(gateway);
         fleet.start(gateway);
         Ms const needed = catchUpTime(fleet, gateway, Ms(10'000));
         slowest = std::max(slowest, needed);
         EXPECT_LT(needed, Ms(5000)) << seed << " " << number << fleet.picture();
-      } else if (awayGateways.size() < 3 && number % 5 == 0) {
-        awayGateways.insert(gateway);
+      } else if (stoppedGateways.size() < 3 && number % 5 == 0) {
+        stoppedGateways.insert(gateway);
         fleet.kill(gateway);
       }
-      if (awayController && number % 40 == 0) {
-        fleet.start(*awayController);
+      if (stoppedController && number % 40 == 0) {
+        fleet.start(*stoppedController);
         fleet.run(Ms(static_cast<long>(fleet.network.roll(6000))));
-        if (std::optional<std::size_t> const leader = fleet.primary(); leader && *leader != *awayController) {
+        if (std::optional<std::size_t> const leader = fleet.primary(); leader && *leader != *stoppedController) {
           ++takeovers;
           fleet.kill(*leader);
-          awayController = leader;
+          stoppedController = leader;
         }
-      } else if (!awayController && number % 25 == 0) {
-        awayController = fleet.network.roll(4);
-        fleet.kill(*awayController);
+      } else if (!stoppedController && number % 25 == 0) {
+        stoppedController = fleet.network.roll(4);
+        fleet.kill(*stoppedController);
       }
     }
     for (std::size_t index = 0; index < fleet.machines.size(); ++index) {
@@ -396,7 +397,7 @@
   EXPECT_GT(takeovers, 10u);
 }
 
-TEST(CatchUp, AConfigurationThatIsUnderWayOverASlowLinkIsNotSentAgain) {
+TEST(CatchUp, ConfigurationInFlightOverASlowLinkIsNotResent) {
   constexpr std::size_t gateways = 6;
   FleetSimulation fleet(21, 3, gateways, 3);
   ASSERT_TRUE(startServing(fleet, gateways, smallDocument(0)));
@@ -414,7 +415,7 @@
   EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
 }
 
-TEST(CatchUp, EightyEightNodesStartOverSlowLinksOnSmallProcessors) {
+TEST(CatchUp, EightyEightSmallMachinesStartOverSlowLinks) {
   constexpr std::size_t gateways = 85;
   FleetSimulation fleet(31, 3, gateways, 3);
   fleet.limit({1'250'000, std::chrono::microseconds(1500), std::chrono::microseconds(80)});
--- a/tests/control_traffic_test.cpp
+++ b/tests/control_traffic_test.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t controllers = 4;
 constexpr std::size_t zones = 4;
 
-std::string configuration(std::size_t services) {
+std::string configurationBody(std::size_t services) {
   std::string out = "{\"services\":{";
   for (std::size_t number = 0; number < services; ++number) {
     out += (number == 0 ? "" : ",") + std::string("\"service-") + std::to_string(number) + "\":{\"capacity\":26}";
@@ -18,7 +18,7 @@
   return out + "}}";
 }
 
-bool applied(FleetSimulation& fleet, std::string const& id, std::string const& body) {
+bool retryUntilTaken(FleetSimulation& fleet, std::string const& id, std::string const& body) {
   for (int attempt = 0; attempt < 40; ++attempt) {
     std::optional<std::uint64_t> const ticket = fleet.change(id, body);
     for (int round = 0; ticket && round < 80 && !fleet.answers.contains(*ticket); ++round) {
@@ -33,7 +33,7 @@
   return false;
 }
 
-/// A machine with a tenth of a core and a link of 10 Mbit/s.
+/// The capacity of a machine with a tenth of a core and a link of 10 Mbit/s.
 MachineCapacity smallMachine() {
   MachineCapacity capacity;
   capacity.bytesPerSecond = 1'250'000;
@@ -81,11 +81,11 @@
   }
 }
 
-TEST(ControlTraffic, IncarnationRecordsAreNotSentAgainToWhoKnowsThem) {
+TEST(ControlTraffic, IncarnationRecordsAreNotResentToNodesThatHaveThem) {
   constexpr std::size_t gateways = 24;
   FleetSimulation fleet(11, controllers, gateways, zones);
   fleet.startAll();
-  ASSERT_TRUE(applied(fleet, "first", configuration(30)));
+  ASSERT_TRUE(retryUntilTaken(fleet, "first", configurationBody(30)));
   ASSERT_TRUE(fleet.awaitServing(gateways, Ms(10'000)));
   measure(fleet, Ms(4000));
   std::size_t const before = totalBytes(fleet);
@@ -101,11 +101,11 @@
   EXPECT_TRUE(fleet.complaints.empty()) << fleet.complaints.front();
 }
 
-TEST(ControlTraffic, WithoutControlANodeAsksNoMoreThanAMajorityNeeds) {
+TEST(ControlTraffic, StalenessChecksWithoutControllersStayWithinBounds) {
   constexpr std::size_t gateways = 88;
   FleetSimulation fleet(12, controllers, gateways, zones);
   fleet.startAll();
-  ASSERT_TRUE(applied(fleet, "first", configuration(30)));
+  ASSERT_TRUE(retryUntilTaken(fleet, "first", configurationBody(30)));
   ASSERT_TRUE(fleet.awaitServing(gateways, Ms(10'000)));
   killControllers(fleet);
   fleet.run(Ms(4000));
@@ -122,13 +122,13 @@
   EXPECT_TRUE(fleet.complaints.empty()) << fleet.complaints.front();
 }
 
-TEST(ControlTraffic, ManySmallMachinesThatStartTogetherSettleAndStayCalm) {
+TEST(ControlTraffic, SmallMachinesStartedTogetherServeWithLowTraffic) {
   constexpr std::size_t gateways = 88;
   FleetSimulation fleet(13, controllers, gateways, zones);
   fleet.limit(smallMachine());
   fleet.startAll();
   EXPECT_TRUE(fleet.awaitServing(gateways, Ms(8'000))) << fleet.serving() << " serve";
-  ASSERT_TRUE(applied(fleet, "first", configuration(250)));
+  ASSERT_TRUE(retryUntilTaken(fleet, "first", configurationBody(250)));
   fleet.run(Ms(4000));
   EXPECT_EQ(fleet.serving(), gateways);
   measure(fleet, Ms(4000));
--- a/tests/incarnations_test.cpp
+++ b/tests/incarnations_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-/// Records of starts are sent only to who lacks them, and whoever may lack one counts no confirmation.
+/// Incarnation records are sent only to nodes that lack them, and a node that may lack one counts no confirmation.
 namespace {
 
 using namespace limeramp;
@@ -16,7 +16,7 @@
   return records;
 }
 
-TEST(Incarnations, OneSetHasOneDigestInWhateverOrderItWasHeard) {
+TEST(Incarnations, DigestDoesNotDependOnTheOrderOfRecords) {
   IncarnationRecords const one = recordsOf({{"a", 1, 1}, {"b", 2, 1}, {"a", 3, 2}});
   IncarnationRecords const other = recordsOf({{"a", 3, 2}, {"a", 1, 1}, {"b", 2, 1}});
   EXPECT_EQ(one.digest(), other.digest());
@@ -24,14 +24,14 @@
   EXPECT_EQ(IncarnationRecords().digest(), IncarnationRecords::emptyDigest);
 }
 
-TEST(Incarnations, TwoStartsOfOneRankVoidEachOther) {
+TEST(Incarnations, TwoIncarnationsOfOneRankAreBothRejected) {
   IncarnationRecords const records = recordsOf({{"a", 1, 1}, {"a", 2, 1}});
   EXPECT_FALSE(records.trusts("a", 1));
   EXPECT_FALSE(records.trusts("a", 2));
   EXPECT_TRUE(records.trusts("b", 1));
 }
 
-TEST(Incarnations, ASenderIsKnownInFullOnlyIfItsRecordsAreHere) {
+TEST(Incarnations, SendersSetIsKnownOnlyIfItsRecordsWereReceived) {
   IncarnationRecords const sender = recordsOf({{"a", 1, 1}});
   IncarnationRecords receiver;
   EXPECT_FALSE(receiver.learn(sender.digest(), {}));
@@ -45,7 +45,7 @@
 using distribution::ConfigDeliveryStep;
 using distribution::TimePoint;
 
-constexpr char const* homeAddress = "10.0.0.1:7080";
+constexpr char const* zoneOwnerAddress = "10.0.0.1:7080";
 constexpr char const* primaryAddress = "10.0.0.9:7080";
 
 messages::StateRequest pollOfFollower(std::uint64_t digest, std::vector<messages::IncarnationRecord> const& records) {
@@ -66,23 +66,23 @@
   return nullptr;
 }
 
-TEST(Incarnations, AHomeReportsNoConfirmationOfAFollowerWhoseRecordsItLacks) {
-  ConfigDelivery home({}, {"home", homeAddress, "zone", 0, 0}, 11, 5);
+TEST(Incarnations, ZoneOwnerReportsNoConfirmationIfItLacksAFollowersRecords) {
+  ConfigDelivery zoneOwner({}, {"home", zoneOwnerAddress, "zone", 0, 0}, 11, 5);
   TimePoint now{std::chrono::hours(1)};
   std::vector<messages::Peer> const peers{{"primary", primaryAddress, "zone", messages::controllerRole, 9, 0}};
   IncarnationRecords const sender = recordsOf({{"other", 1, 1}});
-  home.tick(now, peers);
-  home.onMessage(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), {}));
+  zoneOwner.tick(now, peers);
+  zoneOwner.onMessage(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), {}));
   now += std::chrono::seconds(1);
   messages::StateRequest const* report = nullptr;
-  ConfigDeliveryStep const first = home.tick(now, peers);
+  ConfigDeliveryStep const first = zoneOwner.tick(now, peers);
   report = reportTo(first, primaryAddress);
   ASSERT_NE(report, nullptr);
   ASSERT_EQ(report->followers.size(), 1u);
   EXPECT_EQ(report->followers.front().sequence, 0u);
-  home.onMessage(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), sender.list()));
+  zoneOwner.onMessage(now, "10.0.0.2:7080", pollOfFollower(sender.digest(), sender.list()));
   now += std::chrono::seconds(1);
-  ConfigDeliveryStep const second = home.tick(now, peers);
+  ConfigDeliveryStep const second = zoneOwner.tick(now, peers);
   report = reportTo(second, primaryAddress);
   ASSERT_NE(report, nullptr);
   ASSERT_EQ(report->followers.size(), 1u);
--- a/tests/peer_views_test.cpp
+++ b/tests/peer_views_test.cpp
@@ -15,8 +15,8 @@
 using simulator::SimulatedNetwork;
 using Ms = std::chrono::milliseconds;
 
-struct Crowd {
-  Crowd(std::uint64_t seed, std::size_t count) : network(seed) {
+struct Fleet {
+  Fleet(std::uint64_t seed, std::size_t count) : network(seed) {
     for (std::size_t index = 0; index < count; ++index) {
       addresses.push_back("127.0." + std::to_string(index / 200) + "." + std::to_string(index % 200 + 1) + ":7000");
       views.emplace_back();
@@ -30,8 +30,8 @@
   std::vector<std::optional<PeerViews>> views;
   std::vector<bool> up;
   std::vector<std::size_t> sent;
-  /// A node that runs but reaches nobody and is reached by nobody.
-  std::optional<std::size_t> cutOff;
+  /// A running node whose messages are all lost, in both directions.
+  std::optional<std::size_t> isolated;
 
   std::string nameOf(std::size_t index) const { return "m" + std::to_string(index); }
 
@@ -60,14 +60,14 @@
           static_cast<std::size_t>(std::find(addresses.begin(), addresses.end(), outgoing.address) - addresses.begin());
       messages::Shuffle const shuffle = std::get<messages::Shuffle>(outgoing.message);
       network.after(std::chrono::microseconds(200 + network.roll(3000)), [this, from, to, shuffle] {
-        if (to < up.size() && up[to] && cutOff != from && cutOff != to) {
+        if (to < up.size() && up[to] && isolated != from && isolated != to) {
           send(to, views[to]->onMessage(network.now(), nameOf(from), addresses[from], shuffle));
         }
       });
     }
   }
 
-  std::size_t holders(std::string const& node) const {
+  std::size_t countViewsWith(std::string const& node) const {
     std::size_t count = 0;
     for (std::size_t index = 0; index < views.size(); ++index) {
       if (up[index]) {
@@ -80,16 +80,16 @@
     return count;
   }
 
-  std::size_t reachedFrom(std::size_t first) const {
+  std::size_t countReachableFrom(std::size_t first) const {
     std::set<std::size_t> seen{first};
-    std::vector<std::size_t> left{first};
-    while (!left.empty()) {
-      std::size_t const at = left.back();
-      left.pop_back();
-      for (messages::Peer const& peer : views[at]->peers(network.now())) {
+    std::vector<std::size_t> pending{first};
+    while (!pending.empty()) {
+      std::size_t const current = pending.back();
+      pending.pop_back();
+      for (messages::Peer const& peer : views[current]->peers(network.now())) {
         std::size_t const next = static_cast<std::size_t>(std::stoul(peer.node.substr(1)));
         if (up[next] && seen.insert(next).second) {
-          left.push_back(next);
+          pending.push_back(next);
         }
       }
     }
@@ -97,55 +97,55 @@
   }
 };
 
-TEST(PeerViews, UnderChurnTheCrowdStaysOneAndTheDeadAreForgotten) {
+TEST(PeerViews, ViewsStayConnectedUnderChurnAndDropDeadNodes) {
   for (std::size_t const count : {10u, 30u, 100u}) {
     std::vector<long> forgotten;
     std::vector<long> joined;
     double messages = 0;
     std::uint64_t const seeds = std::getenv("LIMERAMP_LONG") != nullptr ? 5 : count == 100 ? 1 : 2;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      Crowd crowd(seed, count);
+      Fleet fleet(seed, count);
       for (std::size_t index = 0; index < count; ++index) {
-        crowd.start(index);
+        fleet.start(index);
       }
-      crowd.network.runUntil(crowd.network.now() + Ms(10'000));
-      EXPECT_EQ(crowd.reachedFrom(count - 1), count);
-      std::fill(crowd.sent.begin(), crowd.sent.end(), 0);
-      simulator::TimePoint const before = crowd.network.now();
-      crowd.network.runUntil(before + Ms(10'000));
-      for (std::size_t const sent : crowd.sent) {
+      fleet.network.runUntil(fleet.network.now() + Ms(10'000));
+      EXPECT_EQ(fleet.countReachableFrom(count - 1), count);
+      std::fill(fleet.sent.begin(), fleet.sent.end(), 0);
+      simulator::TimePoint const before = fleet.network.now();
+      fleet.network.runUntil(before + Ms(10'000));
+      for (std::size_t const sent : fleet.sent) {
         messages += static_cast<double>(sent) / static_cast<double>(count) / 10 / static_cast<double>(seeds);
       }
       std::vector<std::size_t> dead;
       for (std::size_t index = 3; index < count; ++index) {
-        if (crowd.network.chance(0.4)) {
-          crowd.up[index] = false;
+        if (fleet.network.chance(0.4)) {
+          fleet.up[index] = false;
           dead.push_back(index);
         }
       }
-      simulator::TimePoint const killed = crowd.network.now();
-      std::set<std::size_t> held(dead.begin(), dead.end());
-      while (!held.empty() && crowd.network.now() - killed < Ms(20'000)) {
-        crowd.network.runUntil(crowd.network.now() + Ms(100));
-        std::erase_if(held, [&](std::size_t index) {
-          bool const gone = crowd.holders(crowd.nameOf(index)) == 0;
+      simulator::TimePoint const killedAt = fleet.network.now();
+      std::set<std::size_t> remembered(dead.begin(), dead.end());
+      while (!remembered.empty() && fleet.network.now() - killedAt < Ms(20'000)) {
+        fleet.network.runUntil(fleet.network.now() + Ms(100));
+        std::erase_if(remembered, [&](std::size_t index) {
+          bool const gone = fleet.countViewsWith(fleet.nameOf(index)) == 0;
           if (gone) {
-            forgotten.push_back(std::chrono::duration_cast<Ms>(crowd.network.now() - killed).count());
+            forgotten.push_back(std::chrono::duration_cast<Ms>(fleet.network.now() - killedAt).count());
           }
           return gone;
         });
       }
-      EXPECT_TRUE(held.empty());
+      EXPECT_TRUE(remembered.empty());
       for (std::size_t const index : dead) {
-        simulator::TimePoint const began = crowd.network.now();
-        crowd.start(index);
-        while (crowd.holders(crowd.nameOf(index)) < 3 && crowd.network.now() - began < Ms(10'000)) {
-          crowd.network.runUntil(crowd.network.now() + Ms(50));
+        simulator::TimePoint const began = fleet.network.now();
+        fleet.start(index);
+        while (fleet.countViewsWith(fleet.nameOf(index)) < 3 && fleet.network.now() - began < Ms(10'000)) {
+          fleet.network.runUntil(fleet.network.now() + Ms(50));
         }
-        joined.push_back(std::chrono::duration_cast<Ms>(crowd.network.now() - began).count());
+        joined.push_back(std::chrono::duration_cast<Ms>(fleet.network.now() - began).count());
       }
-      crowd.network.runUntil(crowd.network.now() + Ms(3000));
-      EXPECT_EQ(crowd.reachedFrom(count - 1), count) << seed;
+      fleet.network.runUntil(fleet.network.now() + Ms(3000));
+      EXPECT_EQ(fleet.countReachableFrom(count - 1), count) << seed;
     }
     std::sort(forgotten.begin(), forgotten.end());
     std::sort(joined.begin(), joined.end());
@@ -161,31 +161,32 @@
   }
 }
 
-TEST(PeerViews, ANodeWhoseSeedsWereAllExchangedFindsItsFleet) {
+TEST(PeerViews, IsolatedNodeFindsTheFleetWithNewSeeds) {
   std::vector<long> found;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     constexpr std::size_t count = 12;
-    constexpr std::size_t lone = 5;
-    Crowd crowd(seed, count);
+    constexpr std::size_t isolatedNode = 5;
+    Fleet fleet(seed, count);
     for (std::size_t index = 0; index < count; ++index) {
-      crowd.start(index);
+      fleet.start(index);
     }
-    crowd.network.runUntil(crowd.network.now() + Ms(5'000));
-    crowd.cutOff = lone;
-    crowd.network.runUntil(crowd.network.now() + Ms(10'000));
+    fleet.network.runUntil(fleet.network.now() + Ms(5'000));
+    fleet.isolated = isolatedNode;
+    fleet.network.runUntil(fleet.network.now() + Ms(10'000));
     for (std::size_t index = 0; index < 3; ++index) {
-      crowd.up[index] = false;
+      fleet.up[index] = false;
     }
-    crowd.cutOff.reset();
-    crowd.network.runUntil(crowd.network.now() + Ms(10'000));
-    EXPECT_EQ(crowd.reachedFrom(lone), 1u) << "without new seeds it knows nobody, seed " << seed;
-    crowd.views[lone]->setSeeds({crowd.addresses[7], crowd.addresses[8], crowd.addresses[9]});
-    simulator::TimePoint const exchanged = crowd.network.now();
-    while (crowd.reachedFrom(lone) < count - 3 && crowd.network.now() - exchanged < Ms(10'000)) {
-      crowd.network.runUntil(crowd.network.now() + Ms(20));
+    fleet.isolated.reset();
+    fleet.network.runUntil(fleet.network.now() + Ms(10'000));
+    EXPECT_EQ(fleet.countReachableFrom(isolatedNode), 1u)
+        << "without new seeds the node knows no other node, seed " << seed;
+    fleet.views[isolatedNode]->setSeeds({fleet.addresses[7], fleet.addresses[8], fleet.addresses[9]});
+    simulator::TimePoint const replacedAt = fleet.network.now();
+    while (fleet.countReachableFrom(isolatedNode) < count - 3 && fleet.network.now() - replacedAt < Ms(10'000)) {
+      fleet.network.runUntil(fleet.network.now() + Ms(20));
     }
-    EXPECT_EQ(crowd.reachedFrom(lone), count - 3) << seed;
-    found.push_back(std::chrono::duration_cast<Ms>(crowd.network.now() - exchanged).count());
+    EXPECT_EQ(fleet.countReachableFrom(isolatedNode), count - 3) << seed;
+    found.push_back(std::chrono::duration_cast<Ms>(fleet.network.now() - replacedAt).count());
   }
   std::sort(found.begin(), found.end());
   std::printf("seeds 1 to 20: the fleet is found %ld ms after the exchange (median), %ld ms at most\n",
@@ -193,22 +194,22 @@
   EXPECT_LE(found.back(), 1'000);
 }
 
-TEST(PeerViews, SeedsExchangedForOnesThatAreDownLoseNoPeer) {
-  Crowd crowd(3, 12);
+TEST(PeerViews, NewSeedsThatAreDownLoseNoPeer) {
+  Fleet fleet(3, 12);
   for (std::size_t index = 0; index < 12; ++index) {
-    crowd.start(index);
+    fleet.start(index);
   }
-  crowd.network.runUntil(crowd.network.now() + Ms(5'000));
+  fleet.network.runUntil(fleet.network.now() + Ms(5'000));
   for (std::size_t index = 0; index < 12; ++index) {
-    crowd.views[index]->setSeeds({"127.0.9.1:7000", "127.0.9.2:7000", "127.0.9.3:7000"});
+    fleet.views[index]->setSeeds({"127.0.9.1:7000", "127.0.9.2:7000", "127.0.9.3:7000"});
   }
-  crowd.network.runUntil(crowd.network.now() + Ms(20'000));
+  fleet.network.runUntil(fleet.network.now() + Ms(20'000));
   for (std::size_t index = 0; index < 12; ++index) {
-    EXPECT_EQ(crowd.reachedFrom(index), 12u);
+    EXPECT_EQ(fleet.countReachableFrom(index), 12u);
   }
 }
 
-TEST(Founding, CountsTheSeedsOfTheStartWhateverWasExchanged) {
+TEST(Founding, CountsTheInitialSeedsEvenAfterSetSeeds) {
   std::vector<std::string> const seeds{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"};
   PeerViews views({}, messages::Peer{"m1", seeds[0], "z", messages::controllerRole, 1, 0}, seeds, 5);
   TimePoint const start{std::chrono::hours(1)};
@@ -221,18 +222,19 @@
   EXPECT_TRUE(views.mayFound(start));
 }
 
-TEST(Founding, OneSeedOfThreeMayBeMissingButNotTwo) {
+TEST(Founding, NeedsAllSeedsAtFirstAndAMajorityAfterAWait) {
   std::vector<std::string> const seeds{"127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"};
-  for (std::size_t heard = 0; heard < 3; ++heard) {
+  for (std::size_t aliveSeeds = 0; aliveSeeds < 3; ++aliveSeeds) {
     PeerViews views({}, messages::Peer{"m1", seeds[0], "z", messages::controllerRole, 1, 0}, seeds, 5);
     TimePoint const start{std::chrono::hours(1)};
     for (long waitMs = 0; waitMs <= 8000; waitMs += 100) {
       TimePoint const now = start + Ms(waitMs);
       views.tick(now);
-      for (std::size_t seed = 1; seed <= heard; ++seed) {
+      for (std::size_t seed = 1; seed <= aliveSeeds; ++seed) {
         views.onMessage(now, "m" + std::to_string(seed + 1), seeds[seed], messages::Shuffle{true, {}});
       }
-      EXPECT_EQ(views.mayFound(now), heard == 2 || (heard == 1 && waitMs >= 4000)) << heard << " " << waitMs;
+      EXPECT_EQ(views.mayFound(now), aliveSeeds == 2 || (aliveSeeds == 1 && waitMs >= 4000))
+          << aliveSeeds << " " << waitMs;
     }
   }
 }
--- a/tests/staleness_check_test.cpp
+++ b/tests/staleness_check_test.cpp
@@ -22,23 +22,24 @@
   return roster;
 }
 
-struct Outcome {
-  std::size_t questions = 0;
+struct CheckResult {
+  std::size_t requests = 0;
   std::set<std::string> answered;
 };
 
-/// Asks every 20 ms for `time`; the first `silent` nodes of the roster never answer, the others after 20 ms.
-Outcome ask(StalenessCheck& check, TimePoint from, Ms time, std::size_t silent, Ms goodFor) {
+/// Calls due() every 20 ms for `time`. The first `silent` nodes of the roster never answer; the others answer within
+/// 20 ms, and an answer is valid for `validFor`.
+CheckResult runChecks(StalenessCheck& check, TimePoint from, Ms time, std::size_t silent, Ms validFor) {
   std::vector<messages::RosterEntry> const roster = rosterOf(nodes);
   std::map<std::string, TimePoint> answeredAt;
-  Outcome out;
+  CheckResult out;
   for (TimePoint now = from; now < from + time; now += Ms(20)) {
     std::vector<messages::RosterEntry> const due = check.due(now, roster, needed, [&](std::string const& node) {
-      return answeredAt.contains(node) && now - answeredAt.at(node) < goodFor;
+      return answeredAt.contains(node) && now - answeredAt.at(node) < validFor;
     });
     for (messages::RosterEntry const& entry : due) {
       EXPECT_NE(entry.node, "n0");
-      ++out.questions;
+      ++out.requests;
       if (entry.slot >= silent) {
         answeredAt[entry.node] = now;
         out.answered.insert(entry.node);
@@ -48,29 +49,29 @@
   return out;
 }
 
-TEST(StalenessCheck, AsksNoMoreThanAMajorityAndAReserve) {
+TEST(StalenessCheck, AsksOnlyAMajorityAndAReserve) {
   StalenessCheck check({}, "n0", 3);
-  Outcome const outcome = ask(check, TimePoint(std::chrono::hours(1)), Ms(600), 0, Ms(60'000));
-  EXPECT_GE(outcome.answered.size(), needed);
-  EXPECT_LE(outcome.questions, needed * 5 / 4);
+  CheckResult const result = runChecks(check, TimePoint(std::chrono::hours(1)), Ms(600), 0, Ms(60'000));
+  EXPECT_GE(result.answered.size(), needed);
+  EXPECT_LE(result.requests, needed * 5 / 4);
 }
 
-TEST(StalenessCheck, AsksOthersInPlaceOfThoseThatAreSilent) {
+TEST(StalenessCheck, AsksOtherNodesInPlaceOfSilentOnes) {
   StalenessCheck check({}, "n0", 3);
-  Outcome const outcome = ask(check, TimePoint(std::chrono::hours(1)), Ms(1500), nodes / 2 - 1, Ms(60'000));
-  EXPECT_GE(outcome.answered.size(), needed);
+  CheckResult const result = runChecks(check, TimePoint(std::chrono::hours(1)), Ms(1500), nodes / 2 - 1, Ms(60'000));
+  EXPECT_GE(result.answered.size(), needed);
 }
 
-TEST(StalenessCheck, KeepsTheAnswersOfAMajorityFreshAtABoundedRate) {
+TEST(StalenessCheck, KeepsAMajorityOfAnswersValidAtABoundedRate) {
   StalenessCheck check({}, "n0", 3);
-  Outcome const outcome = ask(check, TimePoint(std::chrono::hours(1)), Ms(10'000), 0, Ms(1000));
-  EXPECT_LE(outcome.questions, 10 * needed * 5 / 4 + needed);
+  CheckResult const result = runChecks(check, TimePoint(std::chrono::hours(1)), Ms(10'000), 0, Ms(1000));
+  EXPECT_LE(result.requests, 10 * needed * 5 / 4 + needed);
 }
 
-TEST(StalenessCheck, AsksNobodyTwiceWithinTheTimeOfOneRound) {
+TEST(StalenessCheck, AsksNoNodeTwiceWithinTheRepeatInterval) {
   StalenessCheck check({}, "n0", 3);
-  Outcome const outcome = ask(check, TimePoint(std::chrono::hours(1)), Ms(900), nodes, Ms(1000));
-  EXPECT_LE(outcome.questions, nodes - 1);
+  CheckResult const result = runChecks(check, TimePoint(std::chrono::hours(1)), Ms(900), nodes, Ms(1000));
+  EXPECT_LE(result.requests, nodes - 1);
 }
 
 }  // namespace
