--- a/libs/net/include/limeramp/net/http.h
+++ b/libs/net/include/limeramp/net/http.h
@@ -14,36 +14,37 @@
 #include <utility>
 #include <vector>
 
-/// HTTP/1.1 on one thread (Boost.Beast and Asio). docs/exchanges.md says which answer belongs to which request, and
-/// when a call may be sent again.
+/// An HTTP/1.1 client and server that run on one thread (Boost.Beast and Asio). docs/exchanges.md describes how answers
+/// are matched to requests and when a call may be sent again.
 namespace limeramp::net {
 
-/// Names are compared without case; order is kept.
+/// Header names and values in the order received. Names are compared without regard to case.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/// The first value of that name.
+/// Returns the value of the first header with this name.
 std::optional<std::string> findHeader(Headers const& headers, std::string const& name);
-/// Without the headers that concern one connection only.
+/// Returns the headers without the hop-by-hop headers, including those that a Connection header lists.
 Headers withoutHopByHop(Headers const& headers);
-/// Removes all headers of that name.
+/// Removes every header with this name.
 void dropHeader(Headers& headers, std::string_view name);
-/// For a part of a path.
+/// Percent-encodes one segment of a path.
 std::string percentEncoded(std::string const& text);
-/// A host in lower case without port.
+/// Returns the host in lower case and without its port.
 std::string plainHost(std::string_view host);
 
-/// How an answer shows which request it belongs to. The names must outlive the request; empty names ask for nothing.
+/// The headers by which the client matches an answer to its request. The names must outlive the request. An empty
+/// `answerHeader` disables the check.
 struct AnswerIdentity {
-  /// The header of the request that holds its id.
+  /// Name of the request header that holds the request id.
   std::string_view requestHeader;
-  /// The header in which the answer carries that id back. An answer with another id belongs to nobody.
+  /// Name of the answer header that repeats the id. The client rejects an answer with another id.
   std::string_view answerHeader;
-  /// Whether an answer without the header belongs to nobody either.
+  /// Whether the client also rejects an answer without that header.
   bool required = false;
 };
 
-/// A whole request. `peer`, `token` and `callerLeft` are set by the server: who sent it, what names it in
-/// ServerOptions::gone among all requests of a Network, and whether nobody waits for its answer any more.
+/// A complete request. The server sets `peer` (address of the caller), `token` (unique among all requests of a Network;
+/// passed to ServerOptions::gone) and `callerLeft`.
 struct Request {
   std::string method;
   std::string target;
@@ -52,17 +53,17 @@
   std::string peer;
   std::uint64_t token = 0;
   AnswerIdentity identity{};
-  /// The caller had closed its side of the connection before the request was handed on. Certain only for requests that
-  /// ServerOptions::watchesCaller names.
+  /// Whether the caller had closed its side of the connection before the handler was called. Reliable only for requests
+  /// for which ServerOptions::watchesCaller returned true.
   bool callerLeft = false;
 };
 
-/// A whole answer.
+/// A complete answer.
 struct Answer {
   int status = 200;
   Headers headers;
   std::string body;
-  /// It has no length: nothing but the end of its connection shows that it is whole.
+  /// The answer carried no length: only the end of the connection marked its end, so a truncated body goes undetected.
   bool endedByClose = false;
 };
 
@@ -70,19 +71,20 @@
 struct Address {
   std::string host;
   std::uint16_t port = 0;
-  /// "IP:PORT", and back; nothing if it is malformed.
+  /// Returns "IP:PORT".
   std::string text() const;
+  /// Parses "IP:PORT". Returns nothing if the text is malformed.
   static std::optional<Address> parse(std::string const& text);
 };
 
-/// Answers a request. Called once, from any thread; further calls do nothing.
+/// Sends the answer to one request. May be called from any thread; calls after the first have no effect.
 using Responder = std::function<void(Answer)>;
 
-/// See Network.
+/// Selects the constructor of Network that starts no thread.
 struct RunOnCallerThread {};
 
-/// The thread on which servers, clients and timers run. Without RunOnCallerThread it starts one of its own; with it,
-/// whoever calls run() is that thread. It must outlive all servers and clients on it.
+/// The event loop of servers, clients and timers. By default it runs on a thread of its own; with RunOnCallerThread it
+/// runs on the thread that calls run(). A Network must outlive all servers and clients that use it.
 class Network {
  public:
   using TimerId = std::uint64_t;
@@ -93,30 +95,30 @@
   Network(Network const&) = delete;
   Network& operator=(Network const&) = delete;
 
-  /// Runs `work` on the network's thread. From any thread; never runs it at once.
+  /// Queues `work` for the network's thread. May be called from any thread; never runs `work` before it returns.
   void post(std::function<void()> work);
-  /// Runs until stop().
+  /// Runs the event loop until stop() is called.
   void run();
   void stop();
-  /// Whether the caller is the network's thread.
+  /// Whether the calling thread is the network's thread.
   bool onThread() const;
 
-  /// Timers run on the network's thread. Call these from that thread or before run().
+  /// Timers call `work` on the network's thread. Set timers from that thread or before run().
   TimerId at(std::chrono::steady_clock::time_point when, std::function<void()> work);
   TimerId after(std::chrono::steady_clock::duration delay, std::function<void()> work);
   TimerId every(std::chrono::steady_clock::duration period, std::function<void()> work);
-  /// The call is not wanted any more; `done` is not called.
+  /// Cancels a timer. From the network's thread, its work does not run again after this call.
   void cancel(TimerId timer);
 
   struct Impl;
-  /// For the servers and clients on this network.
+  /// Internal: for the servers and clients on this network.
   std::shared_ptr<Impl> const& impl() { return impl_; }
 
  private:
   std::shared_ptr<Impl> impl_;
 };
 
-/// What a listener takes from its callers.
+/// Limits of a listener on connections and requests.
 struct ServerBounds {
   std::size_t maxConnections = 2000;
   std::size_t maxHeaderBytes = 16 << 10;
@@ -125,29 +127,31 @@
   std::chrono::milliseconds idleMs{30'000};
 };
 
-/// How a listener behaves.
+/// Options of a listener.
 struct ServerOptions {
   ServerOptions() = default;
   ServerOptions(ServerBounds const& boundsIn) : bounds(boundsIn) {}
 
   ServerBounds bounds;
-  /// Writes the answer to what is malformed or beyond the bounds.
+  /// Builds the answer to a request that is malformed or exceeds the bounds. Default: a JSON body with a verdict.
   std::function<Answer(int status, std::string const& reason)> refuse;
-  /// Called when the caller of a request has gone before its answer, also for one that was handed on as `callerLeft`.
+  /// Called on the network's thread when the caller closes its side before the request is answered, also for a request
+  /// that reached the handler with `callerLeft` set.
   std::function<void(std::uint64_t token)> gone;
-  /// Names the requests before whose hand-over the server looks whether the caller is still there: one system call
-  /// more. A process that was held up finds both a request and the end of its connection when it reads again.
+  /// Selects the requests for which the server checks, right before it calls the handler, whether the caller has closed
+  /// its side. The check costs one system call. It is needed because a process that was suspended finds a request and
+  /// the end of its connection at the same time.
   std::function<bool(Request const&)> watchesCaller;
   std::chrono::milliseconds userTimeoutMs{3'000};
-  /// Connections are taken only after open(): the address is held, callers are refused meanwhile.
+  /// Bind and listen at once, but accept connections only after HttpServer::open() was called. Default: false.
   bool opensLater = false;
 };
 
-/// A listener. Its handler is called on the network's thread with requests that were read whole.
+/// A listener. It calls its handler on the network's thread, with complete requests only.
 class HttpServer {
  public:
   using Handler = std::function<void(Request, Responder)>;
-  /// Takes the address. Null, with the reason in `error`, if that fails.
+  /// Binds the address and listens. Returns null, with the reason in `error`, if that fails.
   static std::unique_ptr<HttpServer> listen(Network& network, Address const& address, ServerOptions options,
                                             Handler handler, std::string& error);
   ~HttpServer();
@@ -156,13 +160,13 @@
   Address address() const;
   void setBounds(ServerBounds const& bounds);
   void open();
-  /// Every connection ends after its next answer.
+  /// Closes every connection after its next answer. New connections are still accepted.
   void drain();
-  /// Takes no new connections.
+  /// Stops accepting connections and closes the idle ones. Requests in progress are still answered.
   void stopAccepting();
   std::size_t connections() const;
-  /// Connections with a request that is being read, is in hand, or has an answer that is not written yet. From any
-  /// thread.
+  /// Number of connections on which a request is being read or handled, or its answer being written. May be called from
+  /// any thread.
   std::size_t busyConnections() const;
 
  private:
@@ -171,16 +175,16 @@
   std::shared_ptr<Impl> impl_;
 };
 
-/// What came of a call. Without an answer, `verdict` says whether the request may have run.
+/// The outcome of a call. If there is no answer, `verdict` says whether the server may have run the request.
 struct Exchange {
   std::optional<Answer> answer;
   retry::Verdict verdict = retry::Verdict::notRun;
   std::string reason;
-  /// The connection was refused: nobody listens at that address.
+  /// The connection was refused: no process listens at that address.
   bool refused = false;
 };
 
-/// What a client spends on each server.
+/// Limits of a client for each server.
 struct ClientBounds {
   std::size_t maxAnswerBytes = 4 << 20;
   std::size_t maxIdlePerServer = 16;
@@ -191,13 +195,13 @@
   std::chrono::milliseconds userTimeoutMs{3'000};
 };
 
-/// How many connections one server may have, and how long an idle one is kept. 0: as ClientBounds says.
+/// The maximum number of connections to one server (0: unlimited) and how long an idle connection is kept.
 struct ConnectionLimit {
   std::size_t maximum = 0;
   std::chrono::milliseconds idleMs{2'000};
 };
 
-/// Connections to one server.
+/// Counters of the connections to one server, and of the attempts that wait for one.
 struct ServerCounters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
@@ -206,14 +210,14 @@
   std::size_t waiting = 0;
 };
 
-/// Connections to all servers, and to each that is known.
+/// Counters summed over all servers, and those of each server that has a pool, by address.
 struct ClientCounters {
   ServerCounters all;
   std::map<std::string, ServerCounters> servers;
 };
 
-/// Calls servers over pooled connections. `done` is called once for each call, on the network's thread. A request is
-/// sent once: whether it is sent again is for the caller to decide.
+/// Calls servers over pooled connections. `done` is called once for each call, on the network's thread, and never from
+/// within begin() or cancel(). The client sends each request at most once; retries are up to the caller.
 class HttpClient {
  public:
   using Done = std::function<void(Exchange)>;
@@ -222,11 +226,11 @@
   HttpClient(HttpClient const&) = delete;
   HttpClient& operator=(HttpClient const&) = delete;
 
-  /// From any thread. The call ends with an Exchange by its deadline.
+  /// Starts a call. May be called from any thread. `done` receives an Exchange by the deadline at the latest.
   void begin(std::uint64_t attempt, Address const& server, Request request,
              std::chrono::steady_clock::time_point deadline, Done done);
   void cancel(std::uint64_t attempt);
-  /// Changes the bounds for one server.
+  /// Sets the connection limit of one server.
   void allow(Address const& server, ConnectionLimit const& connectionLimit);
   ClientCounters counters() const;
 
--- a/libs/net/include/limeramp/net/peer_sender.h
+++ b/libs/net/include/limeramp/net/peer_sender.h
@@ -8,18 +8,18 @@
 /// Sends messages to other processes of the fleet.
 namespace limeramp::net {
 
-/// One way, over one connection to each peer, in order. At most 32 messages are on the way to one peer; further ones
-/// are dropped, as are those that a peer does not take within 0.8 s: every sender repeats what matters. Safe to call
-/// from any thread.
+/// Sends one-way messages in order over one connection to each peer. At most 32 messages to one peer are outstanding.
+/// Further messages are dropped, as are messages that the peer does not answer within 0.8 s: senders repeat what must
+/// arrive. May be called from any thread.
 class PeerSender {
  public:
-  /// `from`: how this process is named to its peers.
+  /// @param from the name by which this process identifies itself to its peers
   PeerSender(Network& network, std::string const& from);
   ~PeerSender();
   PeerSender(PeerSender const&) = delete;
   PeerSender& operator=(PeerSender const&) = delete;
 
-  /// Hands a message over; it may be dropped.
+  /// Sends a message to `address` ("IP:PORT"). The message may be dropped without notice.
   void send(std::string const& address, std::string body);
 
  private:
--- a/libs/net/include/limeramp/net/random.h
+++ b/libs/net/include/limeramp/net/random.h
@@ -6,7 +6,7 @@
 /// Randomness from the system.
 namespace limeramp::net {
 
-/// Safe to call from any thread.
+/// Returns 64 random bits. May be called from any thread.
 std::uint64_t randomUint64();
 
 }  // namespace limeramp::net
--- a/libs/net/include/limeramp/net/ring.h
+++ b/libs/net/include/limeramp/net/ring.h
@@ -8,17 +8,17 @@
 #include <utility>
 #include <vector>
 
-/// A bounded queue between threads.
+/// A bounded blocking queue between threads.
 namespace limeramp::net {
 
 /// A ring buffer of fixed capacity for any number of producers and consumers. Every function may be called from any
-/// thread. Invariant under `mutex_`: the `count_` values from `first_` on are set, all others are empty.
+/// thread. Invariant under `mutex_`: the `count_` slots from `first_` on hold a value, all others are empty.
 template <typename T>
 class Ring {
  public:
   explicit Ring(std::size_t capacity) : slots_(capacity) {}
 
-  /// False if fewer than `spare` + 1 places are free, or the ring is closed.
+  /// Adds a value without waiting. Returns false if the ring is closed or has fewer than `spare` + 1 free slots.
   bool tryPush(T value, std::size_t spare = 0) {
     std::unique_lock<std::mutex> lock(mutex_);
     if (closed_ || count_ + spare >= slots_.size()) {
@@ -28,7 +28,7 @@
     return true;
   }
 
-  /// Waits for a free place. False if the ring is closed.
+  /// Waits for a free slot and adds a value. Returns false if the ring is closed.
   bool push(T value) {
     std::unique_lock<std::mutex> lock(mutex_);
     notFull_.wait(lock, [this] { return closed_ || count_ < slots_.size(); });
@@ -39,21 +39,21 @@
     return true;
   }
 
-  /// Waits for a value until `wake`. Nothing if none came, or the ring is closed and empty.
+  /// Waits for a value until `wake`. Returns nothing at that time, or once the ring is closed and empty.
   std::optional<T> popUntil(std::chrono::steady_clock::time_point wake) {
     std::unique_lock<std::mutex> lock(mutex_);
     notEmpty_.wait_until(lock, wake, [this] { return closed_ || count_ > 0; });
     return take();
   }
 
-  /// Waits for a value. Nothing if the ring is closed and empty.
+  /// Waits for a value. Returns nothing once the ring is closed and empty.
   std::optional<T> pop() {
     std::unique_lock<std::mutex> lock(mutex_);
     notEmpty_.wait(lock, [this] { return closed_ || count_ > 0; });
     return take();
   }
 
-  /// Takes no further values; those that are in can still be taken out. Wakes all who wait.
+  /// Rejects further values and wakes all waiting threads. Queued values can still be popped.
   void close() {
     std::unique_lock<std::mutex> const lock(mutex_);
     closed_ = true;
@@ -61,7 +61,7 @@
     notFull_.notify_all();
   }
 
-  /// Closed, and all values taken out.
+  /// Whether the ring is closed and empty.
   bool closed() const {
     std::unique_lock<std::mutex> const lock(mutex_);
     return closed_ && count_ == 0;
--- a/libs/net/src/answer_reader.cpp
+++ b/libs/net/src/answer_reader.cpp
@@ -13,19 +13,19 @@
 namespace http = boost::beast::http;
 
 constexpr std::size_t maxHeaderBytes = 32 << 10;
-constexpr std::size_t maxInterim = 16;
+constexpr std::size_t maxInterimAnswers = 16;
 
 std::optional<Ms> keepAliveTimeout(std::string_view value) {
   static constexpr std::string_view name = "timeout=";
   for (std::size_t at = 0; at < value.size();) {
     std::size_t const comma = std::min(value.find(',', at), value.size());
-    std::string_view interimAnswer = value.substr(at, comma - at);
+    std::string_view parameter = value.substr(at, comma - at);
     at = comma + 1;
-    interimAnswer.remove_prefix(std::min(interimAnswer.find_first_not_of(" \t"), interimAnswer.size()));
-    if (interimAnswer.size() > name.size() && beast::iequals(interimAnswer.substr(0, name.size()), name)) {
+    parameter.remove_prefix(std::min(parameter.find_first_not_of(" \t"), parameter.size()));
+    if (parameter.size() > name.size() && beast::iequals(parameter.substr(0, name.size()), name)) {
       std::uint32_t seconds = 0;
-      char const* const last = interimAnswer.data() + interimAnswer.size();
-      std::from_chars_result const read = std::from_chars(interimAnswer.data() + name.size(), last, seconds);
+      char const* const last = parameter.data() + parameter.size();
+      std::from_chars_result const read = std::from_chars(parameter.data() + name.size(), last, seconds);
       if (read.ec == std::errc()) {
         return std::chrono::seconds(seconds);
       }
@@ -67,38 +67,38 @@
   request_ = &request;
   maxBodyBytes_ = maxBodyBytes;
   parser_.reset();
-  interim_ = 0;
+  interimAnswers_ = 0;
   clean_ = false;
 }
 
-AnswerReader::Progress AnswerReader::take(std::string_view received) {
-  bool const joins = !unread_.empty();
-  if (joins) {
+AnswerReader::Progress AnswerReader::consume(std::string_view received) {
+  bool const buffered = !unread_.empty();
+  if (buffered) {
     unread_.append(received);
   }
-  std::string_view bytes = joins ? std::string_view(unread_) : received;
+  std::string_view bytes = buffered ? std::string_view(unread_) : received;
   Progress progress = Progress::partial;
   for (;;) {
     std::size_t used = 0;
-    std::size_t const interim = interim_;
+    std::size_t const interim = interimAnswers_;
     progress = parse(bytes, used);
     bytes.remove_prefix(used);
-    if (progress != Progress::partial || bytes.empty() || interim == interim_) {
+    if (progress != Progress::partial || bytes.empty() || interim == interimAnswers_) {
       break;
     }
   }
-  if (progress == Progress::wrong) {
+  if (progress == Progress::invalid) {
     return progress;
   }
   if (progress == Progress::complete) {
     clean_ = bytes.empty() && parser_->keep_alive();
-    relax(unread_, keptBytes);
+    clearBuffer(unread_, maxKeptBufferBytes);
     return progress;
   }
   if (bytes.size() > maxHeaderBytes) {
     return fail("malformed answer");
   }
-  if (joins) {
+  if (buffered) {
     unread_.erase(0, unread_.size() - bytes.size());
   } else {
     unread_.assign(bytes);
@@ -115,7 +115,7 @@
   }
   if (!parser_->is_header_done()) {
     Progress const progress = readHead(bytes, used);
-    if (progress == Progress::wrong || !parser_ || !parser_->is_header_done()) {
+    if (progress == Progress::invalid || !parser_ || !parser_->is_header_done()) {
       return progress;
     }
     bytes.remove_prefix(used);
@@ -160,10 +160,10 @@
 
 AnswerReader::Progress AnswerReader::endInterim() {
   parser_.reset();
-  return ++interim_ > maxInterim ? fail("too many interim answers") : Progress::partial;
+  return ++interimAnswers_ > maxInterimAnswers ? fail("too many interim answers") : Progress::partial;
 }
 
-bool AnswerReader::endsHere() {
+bool AnswerReader::finishAtEof() {
   if (!parser_ || !parser_->is_header_done() || !parser_->need_eof()) {
     return false;
   }
@@ -187,7 +187,7 @@
 
 AnswerReader::Progress AnswerReader::fail(std::string error) {
   error_ = std::move(error);
-  return Progress::wrong;
+  return Progress::invalid;
 }
 
 }  // namespace limeramp::net
--- a/libs/net/src/answer_reader.h
+++ b/libs/net/src/answer_reader.h
@@ -10,24 +10,24 @@
 
 namespace limeramp::net {
 
-/// Reads the answer to one request from the bytes of a connection: interim answers are skipped, limits are kept, and an
-/// answer that belongs to another request is an error.
+/// Parses the answer to one request from the bytes of a connection. It skips interim (1xx) answers, enforces size
+/// limits and rejects an answer that belongs to another request.
 class AnswerReader {
  public:
-  enum class Progress { partial, complete, wrong };
+  enum class Progress { partial, complete, invalid };
 
-  /// Forgets the last answer and expects the one to `request`, which must outlive it.
+  /// Resets the reader for the answer to `request`, which must stay valid until that answer is read.
   void expect(Request const& request, std::size_t maxBodyBytes);
 
-  Progress take(std::string_view received);
-  /// The connection ended in order. Whether that is the end of the answer.
-  bool endsHere();
+  Progress consume(std::string_view received);
+  /// Called when the server closed the connection in order. Returns whether that completes the answer.
+  bool finishAtEof();
 
-  /// Hands over what was read, once it is whole.
+  /// Moves the complete answer out of the reader.
   Answer answer();
-  /// Whether the connection may carry another exchange: nothing came after the answer and the server keeps it open.
+  /// Whether the connection may carry another exchange: no bytes followed the answer and the server keeps it open.
   bool leavesConnectionClean() const { return clean_; }
-  /// How long the server keeps the connection open, if it said so.
+  /// The timeout from the server's Keep-Alive header, if it sent one.
   std::optional<Ms> keepAliveMs() const { return keepAliveMs_; }
   std::string const& error() const { return error_; }
 
@@ -42,7 +42,7 @@
   Request const* request_ = nullptr;
   std::size_t maxBodyBytes_ = 0;
   std::optional<Parser> parser_;
-  std::size_t interim_ = 0;
+  std::size_t interimAnswers_ = 0;
   Headers headers_;
   std::optional<Ms> keepAliveMs_;
   bool clean_ = false;
--- a/libs/net/src/client.cpp
+++ b/libs/net/src/client.cpp
@@ -1,4 +1,4 @@
-/// HttpClient: attempts begun and cancelled from any thread, their deadlines, their ends.
+/// HttpClient: starts and cancels attempts from any thread, enforces their deadlines and completes them.
 
 #include "client_impl.h"
 
@@ -7,8 +7,8 @@
 namespace limeramp::net {
 namespace {
 
-constexpr std::size_t maxAllowances = 1000;
-constexpr Ms sweepMs{10};
+constexpr std::size_t maxConnectionLimits = 1000;
+constexpr Ms minSweepPauseMs{10};
 
 }  // namespace
 
@@ -16,23 +16,23 @@
     : network(*networkIn),
       networkAlive(networkIn),
       bounds(boundsIn),
-      sweep(network, sweepMs, [this](TimePoint now) { return expire(now); }) {}
+      sweep(network, minSweepPauseMs, [this](TimePoint now) { return expire(now); }) {}
 
 void HttpClient::Impl::begin(Address const& server, AttemptPtr const& attempt) {
-  ++beginning;
+  ++callbackDeferrals;
   attempt->pool = &poolOf(server);
   attempts[attempt->number] = attempt;
-  place(attempt);
-  --beginning;
+  assignConnection(attempt);
+  --callbackDeferrals;
 }
 
 void HttpClient::Impl::cancel(std::uint64_t number) {
   std::unordered_map<std::uint64_t, AttemptPtr>::iterator const found = attempts.find(number);
   if (found != attempts.end()) {
     AttemptPtr const given = found->second;
-    ++beginning;
-    giveUp(given, "cancelled");
-    --beginning;
+    ++callbackDeferrals;
+    abandon(given, "cancelled");
+    --callbackDeferrals;
   }
 }
 
@@ -42,7 +42,7 @@
   if (found != attempts.end() && found->second == attempt) {
     attempts.erase(found);
   }
-  if (beginning == 0) {
+  if (callbackDeferrals == 0) {
     attempt->done(std::move(exchange));
   } else {
     asio::post(network.context,
@@ -50,7 +50,7 @@
   }
 }
 
-void HttpClient::Impl::giveUp(AttemptPtr const& attempt, std::string const& reason) {
+void HttpClient::Impl::abandon(AttemptPtr const& attempt, std::string const& reason) {
   if (attempt->connection != nullptr) {
     fail(attempt->connection->self.lock(), reason);
     return;
@@ -60,13 +60,13 @@
   if (found != pool.waiting.end()) {
     pool.waiting.erase(found);
     --waiting;
-    count(pool, 0, 0);
+    updateCounters(pool, 0, 0);
     finish(attempt, {std::nullopt, retry::Verdict::notRun, reason});
   }
 }
 
-/// Attempts whose deadline has passed while they waited for a connection.
-std::vector<HttpClient::Impl::AttemptPtr> HttpClient::Impl::waitingSince(TimePoint now) const {
+/// Returns the attempts whose deadline has passed while they waited for a connection.
+std::vector<HttpClient::Impl::AttemptPtr> HttpClient::Impl::expiredWaiting(TimePoint now) const {
   std::vector<AttemptPtr> out;
   if (waiting == 0) {
     return out;
@@ -79,14 +79,14 @@
 }
 
 TimePoint HttpClient::Impl::expire(TimePoint now) {
-  std::vector<ConnectionPtr> const late =
+  std::vector<ConnectionPtr> const expired =
       connections.select([now](Connection const& connection) { return connection.deadline <= now; });
-  for (AttemptPtr const& attempt : waitingSince(now)) {
-    giveUp(attempt, "no connection free");
+  for (AttemptPtr const& attempt : expiredWaiting(now)) {
+    abandon(attempt, "no connection free");
   }
-  for (ConnectionPtr const& connection : late) {
+  for (ConnectionPtr const& connection : expired) {
     if (connection->phase == ClientPhase::idle) {
-      hungUp(connection, {});
+      peerClosed(connection, {});
     } else if (connection->phase != ClientPhase::closed && connection->deadline <= now) {
       fail(connection, "no answer in time");
     }
@@ -102,8 +102,8 @@
   return next;
 }
 
-void HttpClient::Impl::end() {
-  ending = true;
+void HttpClient::Impl::shutDown() {
+  shuttingDown = true;
   for (ConnectionPtr const& connection :
        connections.select([](Connection const& one) { return one.phase == ClientPhase::idle; })) {
     close(connection);
@@ -117,17 +117,17 @@
 }
 
 HttpClient::~HttpClient() {
-  runOn(impl_->networkAlive, [impl = impl_] { impl->end(); });
+  runOn(impl_->networkAlive, [impl = impl_] { impl->shutDown(); });
 }
 
 void HttpClient::begin(std::uint64_t attempt, Address const& server, Request request, Clock::time_point deadline,
                        Done done) {
-  std::shared_ptr<Impl::Attempt> const made = std::make_shared<Impl::Attempt>();
-  made->number = attempt;
-  made->request = std::move(request);
-  made->deadline = deadline;
-  made->done = std::move(done);
-  runOn(impl_->networkAlive, [impl = impl_, server, made] { impl->begin(server, made); });
+  std::shared_ptr<Impl::Attempt> const created = std::make_shared<Impl::Attempt>();
+  created->number = attempt;
+  created->request = std::move(request);
+  created->deadline = deadline;
+  created->done = std::move(done);
+  runOn(impl_->networkAlive, [impl = impl_, server, created] { impl->begin(server, created); });
 }
 
 void HttpClient::cancel(std::uint64_t attempt) {
@@ -136,10 +136,10 @@
 
 void HttpClient::allow(Address const& server, ConnectionLimit const& connectionLimit) {
   runOn(impl_->networkAlive, [impl = impl_, server, connectionLimit] {
-    if (impl->allowances.size() >= maxAllowances) {
-      impl->allowances.clear();
+    if (impl->connectionLimits.size() >= maxConnectionLimits) {
+      impl->connectionLimits.clear();
     }
-    impl->allowances[server.text()] = connectionLimit;
+    impl->connectionLimits[server.text()] = connectionLimit;
     Impl::Pool& pool = impl->poolOf(server);
     pool.connectionLimit = connectionLimit;
     impl->serveWaiting(pool);
@@ -149,7 +149,7 @@
 ClientCounters HttpClient::counters() const {
   ClientCounters out;
   std::unique_lock<std::mutex> const lock(impl_->countersMutex);
-  out.all = impl_->closedConnections;
+  out.all = impl_->prunedPoolCounters;
   for (std::pair<std::string const, std::unique_ptr<Impl::Pool>> const& entry : impl_->pools) {
     ServerCounters const& one = entry.second->counters;
     out.servers[entry.first] = one;
--- a/libs/net/src/client_exchange.cpp
+++ b/libs/net/src/client_exchange.cpp
@@ -1,5 +1,5 @@
-/// One exchange of an HttpClient on its connection: connect, send, read the answer, and say what is known of the
-/// request.
+/// One exchange of an HttpClient on its connection: connect, send the request, read the answer, and on failure report
+/// whether the request may have run.
 
 #include "client_impl.h"
 #include "wire.h"
@@ -29,7 +29,7 @@
   attempt->connection = connection.get();
   connections.add(*connection);
   ++pool.open;
-  count(pool, 1, 0);
+  updateCounters(pool, 1, 0);
   connection->deadline = std::min(attempt->deadline, Clock::now() + bounds.connectMs);
   sweep.require(connection->deadline);
   connection->socket.async_connect(endpoint, [connection](boost::system::error_code const& failure) {
@@ -55,7 +55,7 @@
   Request const& request = connection->attempt->request;
   connection->reader.expect(request, bounds.maxAnswerBytes);
   connection->sentBytes = 0;
-  connection->sendBroken = false;
+  connection->sendFailed = false;
   writeRequest(network.output, request, connection->pool->name);
   boost::system::error_code error;
   std::size_t const sent = connection->socket.write_some(asio::buffer(network.output), error);
@@ -65,7 +65,7 @@
     connection->output = network.output.substr(connection->sentBytes);
     sendRest(connection);
   }
-  relax(network.output, keptOutputBytes);
+  clearBuffer(network.output, maxKeptOutputBytes);
   if (failed) {
     fail(connection, error.message());
     return;
@@ -77,13 +77,13 @@
   connection->sending = true;
   asio::async_write(connection->socket, asio::buffer(connection->output),
                     [connection](boost::system::error_code const& failure, std::size_t bytes) {
-                      relax(connection->output, 0);
+                      clearBuffer(connection->output, 0);
                       connection->sending = false;
                       connection->sentBytes += bytes;
                       if (!failure || connection->phase != ClientPhase::busy) {
                         return;
                       }
-                      connection->sendBroken = true;
+                      connection->sendFailed = true;
                       if (connection->nothingSent()) {
                         connection->client->fail(connection, failure.message());
                       }
@@ -95,7 +95,7 @@
     return;
   }
   connection->reading = true;
-  connection->socket.async_read_some(asio::buffer(connection->landing),
+  connection->socket.async_read_some(asio::buffer(connection->readBuffer),
                                      [connection](boost::system::error_code const& error, std::size_t bytes) {
                                        connection->reading = false;
                                        connection->client->received(connection, error, bytes);
@@ -108,49 +108,49 @@
     return;
   }
   if (error || connection->phase == ClientPhase::idle) {
-    hungUp(connection, error);
+    peerClosed(connection, error);
     return;
   }
-  std::string_view received(connection->landing.data(), bytes);
-  bool more = bytes == connection->landing.size();
-  for (std::size_t reads = 0; take(connection, received) && more && reads < readsAtOnce; ++reads) {
+  std::string_view received(connection->readBuffer.data(), bytes);
+  bool more = bytes == connection->readBuffer.size();
+  for (std::size_t reads = 0; consume(connection, received) && more && reads < maxReadsPerTurn; ++reads) {
     boost::system::error_code failure;
-    std::size_t const got = connection->socket.read_some(asio::buffer(network.landing), failure);
+    std::size_t const got = connection->socket.read_some(asio::buffer(network.readBuffer), failure);
     if (wouldBlock(failure)) {
       break;
     }
     if (failure) {
-      hungUp(connection, failure);
+      peerClosed(connection, failure);
       return;
     }
-    received = std::string_view(network.landing.data(), got);
-    more = got == network.landing.size();
+    received = std::string_view(network.readBuffer.data(), got);
+    more = got == network.readBuffer.size();
   }
   read(connection);
 }
 
-/// The connection ended, or bytes came that nobody asked for.
-void HttpClient::Impl::hungUp(ConnectionPtr const& connection, boost::system::error_code const& error) {
+/// Handles the end of the connection, and bytes received while it was idle.
+void HttpClient::Impl::peerClosed(ConnectionPtr const& connection, boost::system::error_code const& error) {
   if (connection->phase == ClientPhase::idle) {
     Pool& pool = *connection->pool;
     close(connection);
     serveWaiting(pool);
-  } else if (error == asio::error::eof && connection->reader.endsHere()) {
+  } else if (error == asio::error::eof && connection->reader.finishAtEof()) {
     answered(connection);
   } else {
     fail(connection, error.message());
   }
 }
 
-/// Returns whether more bytes of the answer are awaited.
-bool HttpClient::Impl::take(ConnectionPtr const& connection, std::string_view received) {
-  switch (connection->reader.take(received)) {
+/// Parses received bytes. Returns whether the answer is still incomplete.
+bool HttpClient::Impl::consume(ConnectionPtr const& connection, std::string_view received) {
+  switch (connection->reader.consume(received)) {
     case AnswerReader::Progress::partial:
       return true;
     case AnswerReader::Progress::complete:
       answered(connection);
       break;
-    case AnswerReader::Progress::wrong:
+    case AnswerReader::Progress::invalid:
       fail(connection, connection->reader.error());
       break;
   }
@@ -164,8 +164,8 @@
   AttemptPtr const attempt = std::move(connection->attempt);
   connection->attempt.reset();
   Pool& pool = *connection->pool;
-  if (connection->endedCleanly() && !ending) {
-    park(connection);
+  if (connection->endedCleanly() && !shuttingDown) {
+    returnToPool(connection);
   } else {
     close(connection);
   }
--- a/libs/net/src/client_impl.h
+++ b/libs/net/src/client_impl.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// The parts of HttpClient. Connections are pooled for each server (connection_pool.cpp); one carries one exchange at a
-/// time (client_exchange.cpp). A connection goes back to its pool only after an exchange that ended cleanly: its whole
-/// request was sent, its own whole answer was read, and nothing came after it.
+/// Implementation of HttpClient. Connections are pooled per server (connection_pool.cpp) and carry one exchange at a
+/// time (client_exchange.cpp). A connection returns to its pool only after a clean exchange: the whole request was
+/// sent, the matching answer was read completely, and no bytes followed it.
 
 #include "answer_reader.h"
 #include "deadline_sweep.h"
@@ -15,7 +15,7 @@
 
 namespace limeramp::net {
 
-/// What a connection to a server does.
+/// State of a connection to a server.
 enum class ClientPhase { connecting, busy, idle, closed };
 
 struct HttpClient::Impl {
@@ -23,7 +23,7 @@
   struct Pool;
   using ConnectionPtr = std::shared_ptr<Connection>;
 
-  /// One request on its way: waiting for a connection, or on one.
+  /// One call in progress: it waits for a connection or is assigned to one.
   struct Attempt {
     std::uint64_t number = 0;
     Request request;
@@ -56,25 +56,25 @@
   std::unordered_map<std::string, std::unique_ptr<Pool>> pools;
   std::unordered_map<std::uint64_t, AttemptPtr> attempts;
   ConnectionSet<Connection> connections;
-  std::map<std::string, ConnectionLimit> allowances;
+  std::map<std::string, ConnectionLimit> connectionLimits;
   std::size_t waiting = 0;
-  /// Over zero while callers are inside begin() or cancel(), which never call back from within.
-  std::size_t beginning = 0;
-  bool ending = false;
+  /// While over zero, finish() posts `done` to the network's thread: begin() and cancel() never call back from within.
+  std::size_t callbackDeferrals = 0;
+  bool shuttingDown = false;
   DeadlineSweep sweep;
   mutable std::mutex countersMutex;
-  ServerCounters closedConnections;
+  ServerCounters prunedPoolCounters;
 
   // connection_pool.cpp
   Pool& poolOf(Address const& server);
   void prunePools();
-  void count(Pool& pool, std::uint64_t opened, std::uint64_t reused);
-  void place(AttemptPtr const& attempt);
+  void updateCounters(Pool& pool, std::uint64_t opened, std::uint64_t reused);
+  void assignConnection(AttemptPtr const& attempt);
   void reuse(Pool& pool, AttemptPtr const& attempt);
   void serveWaiting(Pool& pool);
-  void park(ConnectionPtr const& connection);
+  void returnToPool(ConnectionPtr const& connection);
   void close(ConnectionPtr const& connection);
-  void forget(Connection& connection);
+  void removeConnection(Connection& connection);
 
   // client_exchange.cpp
   void connect(AttemptPtr const& attempt);
@@ -83,8 +83,8 @@
   void sendRest(ConnectionPtr const& connection);
   void read(ConnectionPtr const& connection);
   void received(ConnectionPtr const& connection, boost::system::error_code const& error, std::size_t bytes);
-  void hungUp(ConnectionPtr const& connection, boost::system::error_code const& error);
-  bool take(ConnectionPtr const& connection, std::string_view received);
+  void peerClosed(ConnectionPtr const& connection, boost::system::error_code const& error);
+  bool consume(ConnectionPtr const& connection, std::string_view received);
   void answered(ConnectionPtr const& connection);
   void fail(ConnectionPtr const& connection, std::string const& reason, bool refused = false);
 
@@ -92,10 +92,10 @@
   void begin(Address const& server, AttemptPtr const& attempt);
   void cancel(std::uint64_t number);
   void finish(AttemptPtr const& attempt, Exchange exchange);
-  void giveUp(AttemptPtr const& attempt, std::string const& reason);
-  std::vector<AttemptPtr> waitingSince(TimePoint now) const;
+  void abandon(AttemptPtr const& attempt, std::string const& reason);
+  std::vector<AttemptPtr> expiredWaiting(TimePoint now) const;
   TimePoint expire(TimePoint now);
-  void end();
+  void shutDown();
 };
 
 /// One connection to a server and the exchange that it carries.
@@ -104,27 +104,27 @@
       : client(std::move(clientIn)), pool(&poolIn), socket(client->network.context) {}
   Connection(Connection const&) = delete;
   Connection& operator=(Connection const&) = delete;
-  ~Connection() { client->forget(*this); }
+  ~Connection() { client->removeConnection(*this); }
 
   std::shared_ptr<Impl> client;
   Pool* pool;
   Socket socket;
   std::weak_ptr<Connection> self;
-  std::size_t place = std::string::npos;
+  std::size_t index = std::string::npos;
   ClientPhase phase = ClientPhase::connecting;
   TimePoint deadline;
   AttemptPtr attempt;
   AnswerReader reader;
   std::string output;
-  /// Bytes of the request that the socket has taken. While there are none, and none are being sent, nothing can run.
+  /// Bytes of the request that the socket has accepted. If none are, and no write is pending, the request cannot run.
   std::size_t sentBytes = 0;
   bool sending = false;
-  bool sendBroken = false;
+  bool sendFailed = false;
   bool reading = false;
-  std::array<char, landingBytes> landing;
+  std::array<char, readBufferBytes> readBuffer;
 
   bool nothingSent() const { return sentBytes == 0 && !sending; }
-  bool endedCleanly() const { return reader.leavesConnectionClean() && !sending && !sendBroken; }
+  bool endedCleanly() const { return reader.leavesConnectionClean() && !sending && !sendFailed; }
 };
 
 }  // namespace limeramp::net
--- a/libs/net/src/connection_pool.cpp
+++ b/libs/net/src/connection_pool.cpp
@@ -1,4 +1,4 @@
-/// The pools of an HttpClient: which connection carries an attempt, how many there are, which are kept.
+/// Connection pools of an HttpClient: assign connections to attempts, limit their number, keep and close idle ones.
 
 #include "client_impl.h"
 
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t maxPools = 1000;
-/// Idle connections are closed so long before the server would close them.
+/// An idle connection is closed this long before the keep-alive timeout that the server announced.
 constexpr Ms keepAliveMarginMs{300};
 
 }  // namespace
@@ -18,12 +18,12 @@
     return *found->second;
   }
   prunePools();
-  std::map<std::string, ConnectionLimit>::const_iterator const known = allowances.find(name);
+  std::map<std::string, ConnectionLimit>::const_iterator const known = connectionLimits.find(name);
   std::unique_ptr<Pool> pool = std::make_unique<Pool>();
   pool->name = name;
   pool->server = server;
   pool->connectionLimit =
-      known == allowances.end() ? ConnectionLimit{bounds.maxConnectionsPerServer, bounds.idleMs} : known->second;
+      known == connectionLimits.end() ? ConnectionLimit{bounds.maxConnectionsPerServer, bounds.idleMs} : known->second;
   std::unique_lock<std::mutex> const lock(countersMutex);
   return *pools.emplace(std::move(name), std::move(pool)).first->second;
 }
@@ -36,14 +36,14 @@
   std::erase_if(pools, [this](std::pair<std::string const, std::unique_ptr<Pool>> const& entry) {
     bool const unused = entry.second->open == 0 && entry.second->waiting.empty();
     if (unused) {
-      closedConnections.opened += entry.second->counters.opened;
-      closedConnections.reused += entry.second->counters.reused;
+      prunedPoolCounters.opened += entry.second->counters.opened;
+      prunedPoolCounters.reused += entry.second->counters.reused;
     }
     return unused;
   });
 }
 
-void HttpClient::Impl::count(Pool& pool, std::uint64_t opened, std::uint64_t reused) {
+void HttpClient::Impl::updateCounters(Pool& pool, std::uint64_t opened, std::uint64_t reused) {
   std::unique_lock<std::mutex> const lock(countersMutex);
   pool.counters.opened += opened;
   pool.counters.reused += reused;
@@ -52,7 +52,7 @@
   pool.counters.waiting = pool.waiting.size();
 }
 
-void HttpClient::Impl::place(AttemptPtr const& attempt) {
+void HttpClient::Impl::assignConnection(AttemptPtr const& attempt) {
   Pool& pool = *attempt->pool;
   if (!pool.idle.empty()) {
     reuse(pool, attempt);
@@ -61,7 +61,7 @@
   } else if (pool.waiting.size() < bounds.maxWaitingPerServer) {
     pool.waiting.push_back(attempt);
     ++waiting;
-    count(pool, 0, 0);
+    updateCounters(pool, 0, 0);
   } else {
     finish(attempt, {std::nullopt, retry::Verdict::notRun, "no connection free"});
     return;
@@ -76,7 +76,7 @@
   connection->attempt = attempt;
   connection->deadline = attempt->deadline;
   attempt->connection = connection.get();
-  count(pool, 0, 1);
+  updateCounters(pool, 0, 1);
   send(connection);
 }
 
@@ -85,22 +85,22 @@
     return;
   }
   TimePoint const now = Clock::now();
-  ++beginning;
+  ++callbackDeferrals;
   while (!pool.waiting.empty() && (!pool.idle.empty() || pool.mayOpen())) {
     AttemptPtr const next = pool.waiting.front();
     pool.waiting.pop_front();
     --waiting;
     if (next->deadline <= now) {
-      count(pool, 0, 0);
+      updateCounters(pool, 0, 0);
       finish(next, {std::nullopt, retry::Verdict::notRun, "no connection free"});
     } else {
-      place(next);
+      assignConnection(next);
     }
   }
-  --beginning;
+  --callbackDeferrals;
 }
 
-void HttpClient::Impl::park(ConnectionPtr const& connection) {
+void HttpClient::Impl::returnToPool(ConnectionPtr const& connection) {
   Ms idleMs = connection->pool->connectionLimit.idleMs;
   if (std::optional<Ms> const keepAliveMs = connection->reader.keepAliveMs()) {
     idleMs = std::min(idleMs, *keepAliveMs - keepAliveMarginMs);
@@ -117,7 +117,7 @@
     close(pool.idle.front()->self.lock());
   }
   if (connection->phase == ClientPhase::idle) {
-    count(pool, 0, 0);
+    updateCounters(pool, 0, 0);
     sweep.require(connection->deadline);
     read(connection);
   }
@@ -127,20 +127,20 @@
   if (connection->phase == ClientPhase::closed) {
     return;
   }
-  forget(*connection);
+  removeConnection(*connection);
   connection->phase = ClientPhase::closed;
   boost::system::error_code ignored;
   connection->socket.close(ignored);
 }
 
-void HttpClient::Impl::forget(Connection& connection) {
+void HttpClient::Impl::removeConnection(Connection& connection) {
   if (!connections.remove(connection)) {
     return;
   }
   Pool& pool = *connection.pool;
   std::erase(pool.idle, &connection);
   --pool.open;
-  count(pool, 0, 0);
+  updateCounters(pool, 0, 0);
 }
 
 }  // namespace limeramp::net
--- a/libs/net/src/deadline_sweep.h
+++ b/libs/net/src/deadline_sweep.h
@@ -8,12 +8,13 @@
 
 namespace limeramp::net {
 
-/// One timer for the deadlines of many connections. It is set for the soonest deadline; when it fires, all that are
-/// due are ended together. Two sweeps are `minPause` apart at least, unless a sooner deadline is required between.
+/// One timer for the deadlines of many connections. It is set for the earliest deadline; when it fires, one sweep
+/// expires every connection that is due. Sweeps are at least `minPause` apart, unless require() asks for an earlier
+/// one.
 class DeadlineSweep {
  public:
   using TimePoint = Network::Impl::TimePoint;
-  /// Ends what is due at `now` and returns the soonest deadline that is left.
+  /// Expires everything that is due at `now` and returns the earliest remaining deadline.
   using Expire = std::function<TimePoint(TimePoint now)>;
 
   DeadlineSweep(Network::Impl& network, std::chrono::milliseconds minPause, Expire expire)
@@ -21,9 +22,9 @@
   DeadlineSweep(DeadlineSweep const&) = delete;
   DeadlineSweep& operator=(DeadlineSweep const&) = delete;
 
-  /// The sweep fires only while its owner lives; it is a member of the owner.
+  /// The sweep is a member of its owner. The timer does nothing once the owner has been destroyed.
   void setOwner(std::weak_ptr<void> owner) { owner_ = std::move(owner); }
-  /// Makes sure that a sweep comes at `deadline` or before.
+  /// Ensures that a sweep runs no later than at `deadline`.
   void require(TimePoint deadline);
 
  private:
--- a/libs/net/src/network.cpp
+++ b/libs/net/src/network.cpp
@@ -10,7 +10,7 @@
 
 namespace limeramp::net {
 
-Network::Impl::Impl() : timer(context), landing(64 << 10) {}
+Network::Impl::Impl() : timer(context), readBuffer(64 << 10) {}
 
 bool Network::Impl::onThread() { return context.get_executor().running_in_this_thread(); }
 
@@ -48,13 +48,13 @@
     std::map<std::pair<TimePoint, TimerId>, Timer>::node_type node = timers.extract(timers.begin());
     TimerId const id = node.key().second;
     Timer& due = node.mapped();
-    bool const again = due.period.count() > 0;
-    if (!again) {
+    bool const periodic = due.period.count() > 0;
+    if (!periodic) {
       times.erase(id);
     }
     due.work();
     std::unordered_map<TimerId, TimePoint>::iterator const found = times.find(id);
-    if (again && found != times.end()) {
+    if (periodic && found != times.end()) {
       found->second = std::max(node.key().first + due.period, now + due.period / 2);
       timers.emplace(std::make_pair(found->second, id), std::move(due));
     }
@@ -155,11 +155,11 @@
 
 std::string percentEncoded(std::string const& text) {
   std::string out;
-  for (char const inbound : text) {
-    char code[4] = {inbound, 0, 0, 0};
-    if (std::isalnum(static_cast<unsigned char>(inbound)) == 0 &&
-        std::string_view("-._~").find(inbound) == std::string_view::npos) {
-      std::snprintf(code, sizeof code, "%%%02X", static_cast<unsigned>(static_cast<unsigned char>(inbound)));
+  for (char const character : text) {
+    char code[4] = {character, 0, 0, 0};
+    if (std::isalnum(static_cast<unsigned char>(character)) == 0 &&
+        std::string_view("-._~").find(character) == std::string_view::npos) {
+      std::snprintf(code, sizeof code, "%%%02X", static_cast<unsigned>(static_cast<unsigned char>(character)));
     }
     out += code;
   }
@@ -169,7 +169,7 @@
 std::string plainHost(std::string_view host) {
   std::string out(host.substr(0, host.find(':')));
   std::transform(out.begin(), out.end(), out.begin(),
-                 [](unsigned char inbound) { return static_cast<char>(std::tolower(inbound)); });
+                 [](unsigned char character) { return static_cast<char>(std::tolower(character)); });
   return out;
 }
 
@@ -180,7 +180,7 @@
 }
 
 Headers withoutHopByHop(Headers const& headers) {
-  static constexpr std::array<std::string_view, 10> hop{
+  static constexpr std::array<std::string_view, 10> hopByHop{
       "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te",
       "trailer",    "upgrade",    "transfer-encoding",  "content-length",      "proxy-connection"};
   std::string listed;
@@ -193,13 +193,13 @@
   for (std::size_t at = 0; at < listed.size();) {
     std::size_t const comma = std::min(listed.find(',', at), listed.size());
     std::string name = listed.substr(at, comma - at);
-    std::erase_if(name, [](char inbound) { return inbound == ' ' || inbound == '\t'; });
+    std::erase_if(name, [](char character) { return character == ' ' || character == '\t'; });
     named.push_back(std::move(name));
     at = comma + 1;
   }
   Headers out;
   for (std::pair<std::string, std::string> const& header : headers) {
-    bool const fixed = std::any_of(hop.begin(), hop.end(),
+    bool const fixed = std::any_of(hopByHop.begin(), hopByHop.end(),
                                    [&](std::string_view name) { return boost::beast::iequals(header.first, name); });
     bool const asked = std::any_of(named.begin(), named.end(), [&](std::string const& name) {
       return !name.empty() && boost::beast::iequals(header.first, name);
--- a/libs/net/src/network.h
+++ b/libs/net/src/network.h
@@ -38,14 +38,16 @@
   std::unordered_map<TimerId, TimePoint> times;
   TimePoint armedFor = TimePoint::max();
   std::atomic<TimerId> lastTimer{0};
-  std::vector<char> landing;
+  /// Shared buffers of all connections. Used on the network's thread, within one callback at a time.
+  std::vector<char> readBuffer;
   std::string output;
-  std::unordered_set<std::shared_ptr<void>> registered;
-  /// Names requests among all servers of this network. Belongs to the network's thread.
+  /// Connections without a pending operation that would hold a reference to them.
+  std::unordered_set<std::shared_ptr<void>> keptAlive;
+  /// Last token given to a request; unique among all servers of this network. Used on the network's thread only.
   std::uint64_t lastRequestToken = 0;
 };
 
-/// Runs `work` on the thread of a network: at once if this is it, and not at all if the network is gone.
+/// Runs `work` on the network's thread: immediately if called on it, and not at all if the network no longer exists.
 void runOn(std::weak_ptr<Network::Impl> const& network, std::function<void()> work);
 
 }  // namespace limeramp::net
--- a/libs/net/src/peer_sender.cpp
+++ b/libs/net/src/peer_sender.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t maxOutstanding = 32;
-constexpr std::chrono::milliseconds patienceMs{800};
+constexpr std::chrono::milliseconds sendTimeoutMs{800};
 
 }  // namespace
 
@@ -64,7 +64,7 @@
   request.headers.emplace_back("content-type", "avro/binary");
   request.headers.emplace_back("limeramp-from", impl_->from);
   request.body = std::move(body);
-  impl_->client.begin(number, *target, std::move(request), std::chrono::steady_clock::now() + patienceMs,
+  impl_->client.begin(number, *target, std::move(request), std::chrono::steady_clock::now() + sendTimeoutMs,
                       [count](Exchange const&) { --*count; });
 }
 
--- a/libs/net/src/request_reader.cpp
+++ b/libs/net/src/request_reader.cpp
@@ -17,7 +17,7 @@
   expecting_ = false;
 }
 
-RequestReader::Progress RequestReader::take(std::string_view bytes, std::size_t& used, ServerBounds const& bounds) {
+RequestReader::Progress RequestReader::consume(std::string_view bytes, std::size_t& used, ServerBounds const& bounds) {
   if (!parser_) {
     Progress const progress = readHead(bytes.substr(used), used, bounds);
     if (progress != Progress::complete) {
@@ -28,14 +28,14 @@
 }
 
 RequestReader::Progress RequestReader::readHead(std::string_view head, std::size_t& used, ServerBounds const& bounds) {
-  Head const state = scanHead(scan_, head);
-  if (state == Head::wrong) {
+  HeadStatus const state = scanHead(scan_, head);
+  if (state == HeadStatus::malformed) {
     return refuse(400, "malformed head");
   }
-  if ((state == Head::complete ? scan_.size : head.size()) > bounds.maxHeaderBytes) {
+  if ((state == HeadStatus::complete ? scan_.size : head.size()) > bounds.maxHeaderBytes) {
     return refuse(431, "the head is too long");
   }
-  if (state == Head::partial) {
+  if (state == HeadStatus::partial) {
     return Progress::partial;
   }
   parser_.emplace();
--- a/libs/net/src/request_reader.h
+++ b/libs/net/src/request_reader.h
@@ -10,29 +10,30 @@
 
 namespace limeramp::net {
 
-/// Reads one request after the other from the bytes of a connection, within the server's bounds. A request that is
-/// refused has not been handed to anybody.
+/// Parses consecutive requests from the bytes of a connection, within the server's bounds. A refused request never
+/// reaches the handler.
 class RequestReader {
  public:
   enum class Progress { partial, complete, refused };
 
-  /// What is answered to a request that is refused.
+  /// Status and reason of the answer to a refused request.
   struct Refusal {
     int status = 400;
     std::string reason;
   };
 
   void begin();
-  /// Reads on. While no head is whole, `bytes` begins with the first byte of the request each time.
-  Progress take(std::string_view bytes, std::size_t& used, ServerBounds const& bounds);
+  /// Parses further bytes and adds those parsed to `used`. Until the head is complete, each call must pass `bytes` from
+  /// the first byte of the request on.
+  Progress consume(std::string_view bytes, std::size_t& used, ServerBounds const& bounds);
   void reset() { parser_.reset(); }
 
-  /// Whether the caller waits for a word before it sends the body; true once.
+  /// Whether the caller expects "100 Continue" before it sends the body. Returns true only once per request.
   bool takeExpectation() { return std::exchange(expecting_, false); }
   Refusal const& refusal() const { return refusal_; }
-  /// How the answer to the whole request is to be framed.
+  /// How the answer to the complete request must be framed.
   Framing framing() const;
-  /// Hands over the whole request.
+  /// Moves the complete request out of the reader.
   Request request();
 
  private:
--- a/libs/net/src/server.cpp
+++ b/libs/net/src/server.cpp
@@ -1,12 +1,12 @@
-/// HttpServer: listens, accepts connections within its bounds, ends those that are late.
+/// HttpServer: listens, accepts connections within its bounds, and closes connections whose deadline has passed.
 
 #include "server_impl.h"
 
 namespace limeramp::net {
 namespace {
 
-constexpr Ms sweepMs{50};
-constexpr Ms acceptAgainMs{20};
+constexpr Ms minSweepPauseMs{50};
+constexpr Ms acceptRetryMs{20};
 constexpr int backlog = 512;
 
 }  // namespace
@@ -17,7 +17,7 @@
       acceptor(networkIn->context),
       options(std::move(optionsIn)),
       handler(std::move(handlerIn)),
-      sweep(network, sweepMs, [this](TimePoint now) { return expire(now); }) {}
+      sweep(network, minSweepPauseMs, [this](TimePoint now) { return expire(now); }) {}
 
 boost::system::error_code HttpServer::Impl::bind(Address const& wanted) {
   boost::system::error_code failure;
@@ -53,7 +53,7 @@
     }
     if (error) {
       std::weak_ptr<Impl> const again = me;
-      me->network.schedule(Clock::now() + acceptAgainMs, {[again] {
+      me->network.schedule(Clock::now() + acceptRetryMs, {[again] {
                                                             if (std::shared_ptr<Impl> const server = again.lock()) {
                                                               server->accept();
                                                             }
@@ -67,7 +67,7 @@
 }
 
 void HttpServer::Impl::accepted(Socket socket) {
-  if (open >= options.bounds.maxConnections) {
+  if (openConnections >= options.bounds.maxConnections) {
     return;
   }
   boost::system::error_code error;
@@ -77,19 +77,19 @@
   connection->peer = Address{remote.address().to_string(error), remote.port()}.text();
   connection->since = Clock::now();
   connections.add(*connection);
-  ++open;
+  ++openConnections;
   setDeadline(*connection, connection->since + options.bounds.idleMs);
   read(connection);
 }
 
 void HttpServer::Impl::closeIdle() {
-  for (ConnectionPtr const& connection :
-       connections.select([](Connection const& one) { return one.phase == ServerPhase::idle && !one.pumping; })) {
+  for (ConnectionPtr const& connection : connections.select(
+           [](Connection const& one) { return one.phase == ServerPhase::idle && !one.processingInput; })) {
     close(connection);
   }
 }
 
-void HttpServer::Impl::rebound(ServerBounds const& bounds) {
+void HttpServer::Impl::applyBounds(ServerBounds const& bounds) {
   options.bounds = bounds;
   for (Connection* const connection : connections) {
     if (connection->phase == ServerPhase::idle) {
@@ -148,7 +148,7 @@
 Address HttpServer::address() const { return impl_->address; }
 
 void HttpServer::setBounds(ServerBounds const& bounds) {
-  runOn(impl_->networkAlive, [impl = impl_, bounds] { impl->rebound(bounds); });
+  runOn(impl_->networkAlive, [impl = impl_, bounds] { impl->applyBounds(bounds); });
 }
 
 void HttpServer::drain() { impl_->draining = true; }
@@ -162,7 +162,7 @@
   });
 }
 
-std::size_t HttpServer::connections() const { return impl_->open; }
-std::size_t HttpServer::busyConnections() const { return impl_->busy; }
+std::size_t HttpServer::connections() const { return impl_->openConnections; }
+std::size_t HttpServer::busyConnections() const { return impl_->busyConnections; }
 
 }  // namespace limeramp::net
--- a/libs/net/src/server_connection.cpp
+++ b/libs/net/src/server_connection.cpp
@@ -1,4 +1,4 @@
-/// One connection of an HttpServer: requests are read, handed on one at a time, and answered in order.
+/// One connection of an HttpServer: reads requests, passes them to the handler one at a time, and answers in order.
 
 #include "server_impl.h"
 
@@ -8,14 +8,15 @@
 namespace limeramp::net {
 namespace {
 
-/// Bytes that may wait behind a request in hand.
-constexpr std::size_t pipelinedBytes = 16 << 10;
-/// Bytes that are read and dropped after a refusal, so that the caller can read it.
-constexpr std::size_t lingerBytes = 1 << 20;
+/// Reading pauses once this many bytes are buffered behind the request being handled.
+constexpr std::size_t maxPipelinedBytes = 16 << 10;
+/// Bytes that are read and discarded after the last answer, so that closing does not reset the connection before the
+/// caller has read the answer.
+constexpr std::size_t maxLingerBytes = 1 << 20;
 constexpr Ms lingerMs{1000};
 
-/// Whether the peer has closed its side, or the whole connection, behind all that it sent. Takes no bytes.
-bool hasLeft(Socket& socket) {
+/// Whether the peer has closed or reset the connection and all bytes that it sent have been read. Consumes no bytes.
+bool peerHasClosed(Socket& socket) {
   char next = 0;
   boost::system::error_code error;
   socket.receive(asio::buffer(&next, 1), Socket::message_peek, error);
@@ -38,7 +39,7 @@
 
 }  // namespace
 
-void HttpServer::Impl::Ticket::give(std::optional<Answer> answer) {
+void HttpServer::Impl::AnswerHandle::submit(std::optional<Answer> answer) {
   if (used.exchange(true)) {
     return;
   }
@@ -47,37 +48,37 @@
     return;
   }
   if (loop->onThread()) {
-    hand(connection, token, std::move(answer));
+    deliverTo(connection, token, std::move(answer));
   } else {
     asio::post(loop->context, [to = connection, number = token, answer = std::move(answer)]() mutable {
-      hand(to, number, std::move(answer));
+      deliverTo(to, number, std::move(answer));
     });
   }
 }
 
-void HttpServer::Impl::Ticket::hand(std::weak_ptr<Connection> const& to, std::uint64_t number,
-                                    std::optional<Answer> answer) {
+void HttpServer::Impl::AnswerHandle::deliverTo(std::weak_ptr<Connection> const& to, std::uint64_t number,
+                                               std::optional<Answer> answer) {
   if (ConnectionPtr const found = to.lock()) {
     found->server->deliver(found, number, std::move(answer));
   }
 }
 
-void HttpServer::Impl::forget(Connection& connection) {
+void HttpServer::Impl::removeConnection(Connection& connection) {
   if (connections.remove(connection)) {
-    --open;
+    --openConnections;
   }
 }
 
-void HttpServer::Impl::enter(Connection& connection, ServerPhase phase) {
-  busy += isBusy(phase) ? 1 : 0;
-  busy -= isBusy(connection.phase) ? 1 : 0;
+void HttpServer::Impl::setPhase(Connection& connection, ServerPhase phase) {
+  busyConnections += isBusy(phase) ? 1 : 0;
+  busyConnections -= isBusy(connection.phase) ? 1 : 0;
   connection.phase = phase;
 }
 
 void HttpServer::Impl::release(ConnectionPtr const& connection) {
-  if (connection->registered) {
-    connection->registered = false;
-    network.registered.erase(connection);
+  if (connection->keptAlive) {
+    connection->keptAlive = false;
+    network.keptAlive.erase(connection);
   }
 }
 
@@ -85,11 +86,11 @@
   if (connection->phase == ServerPhase::closed) {
     return;
   }
-  enter(*connection, ServerPhase::closed);
+  setPhase(*connection, ServerPhase::closed);
   connection->reader.reset();
   boost::system::error_code ignored;
   connection->socket.close(ignored);
-  forget(*connection);
+  removeConnection(*connection);
   release(connection);
 }
 
@@ -112,15 +113,15 @@
     return;
   }
   bool const answering = phase == ServerPhase::handling || phase == ServerPhase::writing;
-  if (connection->ended || (answering && connection->input.size() >= pipelinedBytes)) {
-    if (phase == ServerPhase::handling && !connection->registered) {
-      connection->registered = true;
-      network.registered.insert(connection);
+  if (connection->inputEnded || (answering && connection->input.size() >= maxPipelinedBytes)) {
+    if (phase == ServerPhase::handling && !connection->keptAlive) {
+      connection->keptAlive = true;
+      network.keptAlive.insert(connection);
     }
     return;
   }
   connection->reading = true;
-  connection->socket.async_read_some(asio::buffer(connection->landing),
+  connection->socket.async_read_some(asio::buffer(connection->readBuffer),
                                      [connection](boost::system::error_code const& error, std::size_t bytes) {
                                        connection->reading = false;
                                        connection->server->received(connection, error, bytes);
@@ -133,45 +134,46 @@
     return;
   }
   if (error) {
-    hungUp(connection, error != asio::error::eof);
+    peerClosed(connection, error != asio::error::eof);
     return;
   }
-  take(connection, std::string_view(connection->landing.data(), bytes));
-  bool more = bytes == connection->landing.size();
-  for (std::size_t reads = 0; more && reads < readsAtOnce && connection->input.size() < pipelinedBytes; ++reads) {
+  consume(connection, std::string_view(connection->readBuffer.data(), bytes));
+  bool more = bytes == connection->readBuffer.size();
+  for (std::size_t reads = 0; more && reads < maxReadsPerTurn && connection->input.size() < maxPipelinedBytes;
+       ++reads) {
     if (connection->phase == ServerPhase::closed) {
       return;
     }
     boost::system::error_code failure;
-    std::size_t const got = connection->socket.read_some(asio::buffer(network.landing), failure);
+    std::size_t const got = connection->socket.read_some(asio::buffer(network.readBuffer), failure);
     if (wouldBlock(failure)) {
       break;
     }
     if (failure) {
-      hungUp(connection, failure != asio::error::eof);
+      peerClosed(connection, failure != asio::error::eof);
       return;
     }
-    take(connection, std::string_view(network.landing.data(), got));
-    more = got == network.landing.size();
+    consume(connection, std::string_view(network.readBuffer.data(), got));
+    more = got == network.readBuffer.size();
   }
   read(connection);
 }
 
-void HttpServer::Impl::take(ConnectionPtr const& connection, std::string_view bytes) {
+void HttpServer::Impl::consume(ConnectionPtr const& connection, std::string_view bytes) {
   switch (connection->phase) {
     case ServerPhase::idle:
     case ServerPhase::reading:
-      pump(connection, bytes);
+      processInput(connection, bytes);
       break;
     case ServerPhase::handling:
     case ServerPhase::writing:
-      if (!connection->closing) {
+      if (!connection->closeAfterAnswer) {
         connection->input.append(bytes);
       }
       break;
     case ServerPhase::lingering:
-      connection->lingered += bytes.size();
-      if (connection->lingered > lingerBytes) {
+      connection->lingeredBytes += bytes.size();
+      if (connection->lingeredBytes > maxLingerBytes) {
         close(connection);
       }
       break;
@@ -180,13 +182,13 @@
   }
 }
 
-void HttpServer::Impl::pump(ConnectionPtr const& connection, std::string_view received) {
-  bool const own = !connection->input.empty();
-  if (own) {
+void HttpServer::Impl::processInput(ConnectionPtr const& connection, std::string_view received) {
+  bool const buffered = !connection->input.empty();
+  if (buffered) {
     connection->input.append(received);
   }
-  std::string_view bytes = own ? std::string_view(connection->input) : received;
-  connection->pumping = true;
+  std::string_view bytes = buffered ? std::string_view(connection->input) : received;
+  connection->processingInput = true;
   while (!bytes.empty() && (connection->phase == ServerPhase::idle || connection->phase == ServerPhase::reading)) {
     std::size_t used = 0;
     bool const complete = advance(connection, bytes, used);
@@ -195,27 +197,28 @@
       break;
     }
   }
-  connection->pumping = false;
-  if (connection->phase == ServerPhase::closed || connection->phase == ServerPhase::lingering || connection->closing) {
+  connection->processingInput = false;
+  if (connection->phase == ServerPhase::closed || connection->phase == ServerPhase::lingering ||
+      connection->closeAfterAnswer) {
     bytes = {};
   }
-  if (own) {
+  if (buffered) {
     connection->input.erase(0, connection->input.size() - bytes.size());
   } else {
     connection->input.assign(bytes);
   }
   if (connection->input.empty()) {
-    relax(connection->input, keptBytes);
+    clearBuffer(connection->input, maxKeptBufferBytes);
   }
 }
 
-/// Reads on in the request at the beginning of `bytes`. Returns whether it was whole and has been handed on.
+/// Parses the request at the start of `bytes`. Returns whether it was complete and was passed to the handler.
 bool HttpServer::Impl::advance(ConnectionPtr const& connection, std::string_view bytes, std::size_t& used) {
   if (connection->phase == ServerPhase::idle && !beginRequest(connection, bytes, used)) {
     return false;
   }
   RequestReader& reader = connection->reader;
-  switch (reader.take(bytes, used, options.bounds)) {
+  switch (reader.consume(bytes, used, options.bounds)) {
     case RequestReader::Progress::complete:
       handle(connection);
       return true;
@@ -226,16 +229,16 @@
       break;
   }
   if (reader.takeExpectation()) {
-    tellToContinue(connection);
+    sendContinue(connection);
   }
-  TimePoint const headBy = connection->since + options.bounds.headerMs;
-  if (connection->phase == ServerPhase::reading && connection->deadline != headBy) {
-    setDeadline(*connection, headBy);
+  TimePoint const requestDeadline = connection->since + options.bounds.headerMs;
+  if (connection->phase == ServerPhase::reading && connection->deadline != requestDeadline) {
+    setDeadline(*connection, requestDeadline);
   }
   return false;
 }
 
-/// Skips empty lines. Returns whether a request begins in `bytes`.
+/// Skips empty lines before a request. Returns whether a request starts in `bytes`.
 bool HttpServer::Impl::beginRequest(ConnectionPtr const& connection, std::string_view bytes, std::size_t& used) {
   while (bytes.substr(used, 2) == "\r\n") {
     used += 2;
@@ -243,13 +246,13 @@
   if (used == bytes.size() || bytes.substr(used) == "\r") {
     return false;
   }
-  enter(*connection, ServerPhase::reading);
+  setPhase(*connection, ServerPhase::reading);
   connection->since = Clock::now();
   connection->reader.begin();
   return true;
 }
 
-void HttpServer::Impl::tellToContinue(ConnectionPtr const& connection) {
+void HttpServer::Impl::sendContinue(ConnectionPtr const& connection) {
   static constexpr std::string_view interimAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
   boost::system::error_code error;
   std::size_t const sent =
@@ -261,24 +264,26 @@
 
 void HttpServer::Impl::handle(ConnectionPtr const& connection) {
   connection->framing = connection->reader.framing();
-  enter(*connection, ServerPhase::handling);
+  setPhase(*connection, ServerPhase::handling);
   connection->deadline = TimePoint::max();
   connection->token = ++network.lastRequestToken;
   Request request = connection->reader.request();
   request.peer = connection->peer;
   request.token = connection->token;
   bool const watched = options.watchesCaller && options.watchesCaller(request);
-  request.callerLeft = connection->ended || (watched && hasLeft(connection->socket));
+  request.callerLeft = connection->inputEnded || (watched && peerHasClosed(connection->socket));
   std::uint64_t const token = request.token;
-  std::shared_ptr<Ticket> ticket = std::make_shared<Ticket>(connection, token);
-  handler(std::move(request), [ticket = std::move(ticket)](Answer answer) { ticket->give(std::move(answer)); });
-  if (connection->ended && connection->phase == ServerPhase::handling && connection->token == token && options.gone) {
+  std::shared_ptr<AnswerHandle> answerHandle = std::make_shared<AnswerHandle>(connection, token);
+  handler(std::move(request),
+          [answerHandle = std::move(answerHandle)](Answer answer) { answerHandle->submit(std::move(answer)); });
+  if (connection->inputEnded && connection->phase == ServerPhase::handling && connection->token == token &&
+      options.gone) {
     options.gone(token);
   }
 }
 
-void HttpServer::Impl::hungUp(ConnectionPtr const& connection, bool reset) {
-  connection->ended = true;
+void HttpServer::Impl::peerClosed(ConnectionPtr const& connection, bool reset) {
+  connection->inputEnded = true;
   ServerPhase const phase = connection->phase;
   if (phase == ServerPhase::handling) {
     std::uint64_t const token = connection->token;
@@ -305,7 +310,7 @@
   }
   bool const keepsAlive = connection->framing.keepAlive;
   connection->framing.keepAlive = keepsAlive && !stopping && !draining;
-  connection->closing = !connection->framing.keepAlive;
+  connection->closeAfterAnswer = !connection->framing.keepAlive;
   writeAnswer(network.output, *answer, connection->framing);
   connection->framing.keepAlive = keepsAlive;
   send(connection);
@@ -313,7 +318,7 @@
 
 void HttpServer::Impl::refuse(ConnectionPtr const& connection, int status, std::string const& reason) {
   connection->reader.reset();
-  connection->closing = true;
+  connection->closeAfterAnswer = true;
   connection->framing = {11, false, false};
   writeAnswer(network.output, options.refuse ? options.refuse(status, reason) : refusalInJson(status, reason),
               connection->framing);
@@ -322,27 +327,27 @@
 }
 
 void HttpServer::Impl::send(ConnectionPtr const& connection) {
-  enter(*connection, ServerPhase::writing);
+  setPhase(*connection, ServerPhase::writing);
   boost::system::error_code error;
   std::size_t const sent = connection->socket.write_some(asio::buffer(network.output), error);
   bool const blocked = wouldBlock(error);
   if (error && !blocked) {
-    relax(network.output, keptOutputBytes);
+    clearBuffer(network.output, maxKeptOutputBytes);
     close(connection);
     return;
   }
   if (sent == network.output.size()) {
-    relax(network.output, keptOutputBytes);
+    clearBuffer(network.output, maxKeptOutputBytes);
     written(connection);
     return;
   }
   connection->output = network.output.substr(sent);
-  relax(network.output, keptOutputBytes);
+  clearBuffer(network.output, maxKeptOutputBytes);
   setDeadline(*connection, Clock::now() + options.bounds.idleMs);
   asio::async_write(connection->socket, asio::buffer(connection->output),
                     [connection](boost::system::error_code const& failure, std::size_t) {
                       Impl& server = *connection->server;
-                      relax(connection->output, 0);
+                      clearBuffer(connection->output, 0);
                       if (connection->phase == ServerPhase::closed) {
                         return;
                       }
@@ -355,26 +360,26 @@
 }
 
 void HttpServer::Impl::written(ConnectionPtr const& connection) {
-  if (connection->closing) {
-    bool const callersWish = !connection->framing.keepAlive && connection->input.empty();
-    if (connection->ended || callersWish) {
+  if (connection->closeAfterAnswer) {
+    bool const callerAskedToClose = !connection->framing.keepAlive && connection->input.empty();
+    if (connection->inputEnded || callerAskedToClose) {
       close(connection);
     } else {
       linger(connection);
     }
     return;
   }
-  enter(*connection, ServerPhase::idle);
+  setPhase(*connection, ServerPhase::idle);
   connection->since = Clock::now();
   setDeadline(*connection, connection->since + options.bounds.idleMs);
-  if (connection->pumping) {
+  if (connection->processingInput) {
     return;
   }
   if (!connection->input.empty()) {
-    pump(connection, {});
+    processInput(connection, {});
   }
   bool const waiting = connection->phase == ServerPhase::idle || connection->phase == ServerPhase::reading;
-  if (connection->ended && waiting) {
+  if (connection->inputEnded && waiting) {
     close(connection);
     return;
   }
@@ -382,9 +387,9 @@
 }
 
 void HttpServer::Impl::linger(ConnectionPtr const& connection) {
-  enter(*connection, ServerPhase::lingering);
-  if (!connection->pumping) {
-    relax(connection->input, 0);
+  setPhase(*connection, ServerPhase::lingering);
+  if (!connection->processingInput) {
+    clearBuffer(connection->input, 0);
   }
   boost::system::error_code ignored;
   connection->socket.shutdown(Socket::shutdown_send, ignored);
--- a/libs/net/src/sockets.h
+++ b/libs/net/src/sockets.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What HttpClient and HttpServer have in common: names of the socket types, sizes of buffers, the set of connections.
+/// Shared by HttpClient and HttpServer: socket types, buffer sizes and the set of connections.
 
 #include "limeramp/net/http.h"
 
@@ -22,43 +22,43 @@
 using Ms = std::chrono::milliseconds;
 using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
 
-/// Bytes that a connection reads into before the network's larger buffer is used.
-constexpr std::size_t landingBytes = 2048;
-/// Capacity that an empty buffer of a connection may keep.
-constexpr std::size_t keptBytes = 4096;
-/// Capacity that the network's shared buffer for output may keep.
-constexpr std::size_t keptOutputBytes = 256 << 10;
-/// Reads of one connection before the others have their turn.
-constexpr std::size_t readsAtOnce = 16;
+/// Size of a connection's own read buffer. When it is filled, further bytes are read into the network's larger buffer.
+constexpr std::size_t readBufferBytes = 2048;
+/// Maximum capacity in bytes that an empty buffer of a connection keeps.
+constexpr std::size_t maxKeptBufferBytes = 4096;
+/// Maximum capacity in bytes that the network's shared output buffer keeps.
+constexpr std::size_t maxKeptOutputBytes = 256 << 10;
+/// Maximum number of consecutive reads on one connection before other connections are served.
+constexpr std::size_t maxReadsPerTurn = 16;
 
 inline bool wouldBlock(boost::system::error_code const& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-/// The open connections of a client or server. Each connection knows its place, so that it leaves in constant time.
+/// The open connections of a client or server. Each connection stores its index, so that removal takes constant time.
 template <typename Connection>
 class ConnectionSet {
  public:
-  static constexpr std::size_t nowhere = std::string::npos;
+  static constexpr std::size_t noIndex = std::string::npos;
 
   void add(Connection& connection) {
-    connection.place = connections_.size();
+    connection.index = connections_.size();
     connections_.push_back(&connection);
   }
 
-  /// False if the connection had left before.
+  /// Returns false if the connection was already removed.
   bool remove(Connection& connection) {
-    if (connection.place == nowhere) {
+    if (connection.index == noIndex) {
       return false;
     }
-    connections_[connection.place] = connections_.back();
-    connections_[connection.place]->place = connection.place;
+    connections_[connection.index] = connections_.back();
+    connections_[connection.index]->index = connection.index;
     connections_.pop_back();
-    connection.place = nowhere;
+    connection.index = noIndex;
     return true;
   }
 
-  /// Those for which `holds` is true, kept alive by the result.
+  /// Returns the connections for which `holds` is true. The result keeps them alive.
   template <typename Predicate>
   std::vector<std::shared_ptr<Connection>> select(Predicate holds) const {
     std::vector<std::shared_ptr<Connection>> out;
--- a/libs/net/src/wire.cpp
+++ b/libs/net/src/wire.cpp
@@ -11,12 +11,12 @@
 
 namespace beast = boost::beast;
 
-bool isControl(char inbound) {
-  unsigned char const code = static_cast<unsigned char>(inbound);
-  return (code < 0x20 && inbound != '\t') || code == 0x7f;
+bool isControl(char character) {
+  unsigned char const code = static_cast<unsigned char>(character);
+  return (code < 0x20 && character != '\t') || code == 0x7f;
 }
 
-bool isGood(std::string_view line, bool first) {
+bool isValidHeadLine(std::string_view line, bool first) {
   if (line.empty() || std::any_of(line.begin(), line.end(), isControl)) {
     return false;
   }
@@ -28,19 +28,19 @@
          line[colon - 1] != ' ' && line[colon - 1] != '\t';
 }
 
-bool isFraming(std::string_view name) {
+bool isFramingHeader(std::string_view name) {
   static constexpr std::array<std::string_view, 5> framing{"connection", "content-length", "transfer-encoding",
                                                            "keep-alive", "proxy-connection"};
   return std::any_of(framing.begin(), framing.end(),
                      [&](std::string_view one) { return one.size() == name.size() && beast::iequals(one, name); });
 }
 
-bool breaks(std::string_view text) {
+bool containsLineBreakOrNul(std::string_view text) {
   return std::any_of(text.begin(), text.end(),
-                     [](char inbound) { return inbound == '\r' || inbound == '\n' || inbound == '\0'; });
+                     [](char character) { return character == '\r' || character == '\n' || character == '\0'; });
 }
 
-std::size_t bytesOf(Headers const& headers) {
+std::size_t encodedSize(Headers const& headers) {
   std::size_t out = 0;
   for (std::pair<std::string, std::string> const& header : headers) {
     out += header.first.size() + header.second.size() + 4;
@@ -54,7 +54,8 @@
 
 void writeHeaders(std::string& out, Headers const& headers) {
   for (std::pair<std::string, std::string> const& header : headers) {
-    if (!header.first.empty() && !isFraming(header.first) && !breaks(header.first) && !breaks(header.second)) {
+    if (!header.first.empty() && !isFramingHeader(header.first) && !containsLineBreakOrNul(header.first) &&
+        !containsLineBreakOrNul(header.second)) {
       writeHeader(out, header.first, header.second);
     }
   }
@@ -62,35 +63,35 @@
 
 }  // namespace
 
-Head scanHead(HeadScan& scan, std::string_view bytes) {
+HeadStatus scanHead(HeadScan& scan, std::string_view bytes) {
   for (;;) {
     std::size_t const end = bytes.find('\n', scan.line);
     bool const first = scan.line == 0;
     std::string_view line = bytes.substr(scan.line, end == std::string_view::npos ? end : end - scan.line);
-    bool const returned = !line.empty() && line.back() == '\r';
-    if (returned) {
+    bool const endsWithCr = !line.empty() && line.back() == '\r';
+    if (endsWithCr) {
       line.remove_suffix(1);
     }
     if (end == std::string_view::npos) {
-      return std::any_of(line.begin(), line.end(), isControl) ? Head::wrong : Head::partial;
+      return std::any_of(line.begin(), line.end(), isControl) ? HeadStatus::malformed : HeadStatus::partial;
     }
-    if (!returned) {
-      return Head::wrong;
+    if (!endsWithCr) {
+      return HeadStatus::malformed;
     }
     if (line.empty() && !first) {
       scan.size = end + 1;
-      return Head::complete;
+      return HeadStatus::complete;
     }
-    if (!isGood(line, first)) {
-      return Head::wrong;
+    if (!isValidHeadLine(line, first)) {
+      return HeadStatus::malformed;
     }
     scan.line = end + 1;
   }
 }
 
 void writeAnswer(std::string& out, Answer const& answer, Framing const& framing) {
-  bool const never = answer.status / 100 == 1 || answer.status == 204 || answer.status == 304;
-  out.reserve(out.size() + bytesOf(answer.headers) + answer.body.size() + 128);
+  bool const bodyForbidden = answer.status / 100 == 1 || answer.status == 204 || answer.status == 304;
+  out.reserve(out.size() + encodedSize(answer.headers) + answer.body.size() + 128);
   out.append(framing.version == 10 ? "HTTP/1.0 " : "HTTP/1.1 ").append(std::to_string(answer.status)).append(" ");
   out.append(
       beast::http::obsolete_reason(beast::http::int_to_status(static_cast<unsigned>(std::max(answer.status, 0)))));
@@ -101,20 +102,21 @@
   } else if (framing.version == 10) {
     writeHeader(out, "Connection", "keep-alive");
   }
-  if (!never) {
-    std::optional<std::string> const announced =
+  if (!bodyForbidden) {
+    std::optional<std::string> const declaredLength =
         framing.bodiless && answer.body.empty() ? findHeader(answer.headers, "content-length") : std::nullopt;
     writeHeader(out, "Content-Length",
-                announced && !breaks(*announced) ? *announced : std::to_string(answer.body.size()));
+                declaredLength && !containsLineBreakOrNul(*declaredLength) ? *declaredLength
+                                                                           : std::to_string(answer.body.size()));
   }
   out.append("\r\n");
-  if (!never && !framing.bodiless) {
+  if (!bodyForbidden && !framing.bodiless) {
     out.append(answer.body);
   }
 }
 
 void writeRequest(std::string& out, Request const& request, std::string const& server) {
-  out.reserve(out.size() + request.target.size() + bytesOf(request.headers) + request.body.size() + 128);
+  out.reserve(out.size() + request.target.size() + encodedSize(request.headers) + request.body.size() + 128);
   out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
   bool const named = findHeader(request.headers, "host").has_value();
   if (!named) {
@@ -127,7 +129,7 @@
   out.append("\r\n").append(request.body);
 }
 
-void relax(std::string& buffer, std::size_t maxBytes) {
+void clearBuffer(std::string& buffer, std::size_t maxBytes) {
   buffer.clear();
   if (buffer.capacity() > maxBytes) {
     std::string().swap(buffer);
--- a/libs/node/include/limeramp/node/listeners.h
+++ b/libs/node/include/limeramp/node/listeners.h
@@ -9,29 +9,29 @@
 /// The listeners of one process.
 namespace limeramp::node {
 
-/// The HTTP servers of one process, by the kind of caller that each is for.
+/// The HTTP servers of one process, grouped by the kind of caller that they serve.
 class Listeners {
  public:
-  /// Whom a listener is for.
+  /// The kind of caller that a listener serves.
   enum class Audience { peers, operators, readiness, callers };
 
   explicit Listeners(net::Network& network) : network_(network) {}
 
-  /// Listens on each address and logs E103 for it.
-  /// @return false, with the reason in `error`, if an address is malformed or cannot be taken
+  /// Listens on each address and logs E103 for each.
+  /// @return false, with the reason in `error`, if an address is malformed or cannot be bound
   bool listen(Audience audience, std::vector<std::string> const& addresses, net::ServerOptions const& options,
               net::HttpServer::Handler const& handler, std::string& error);
 
-  /// Lets in those whose listeners were asked to open later.
+  /// Starts accepting on listeners that were created with ServerOptions::opensLater.
   void open(Audience audience);
   /// Replaces the bounds on connections and messages; open connections stay.
   void setBounds(Audience audience, net::ServerBounds const& bounds);
-  /// Changes how many connections each listener takes; open connections stay.
+  /// Changes the maximum number of connections of each listener; open connections stay.
   void setMaxConnections(std::size_t maxConnections);
-  /// Connections of these listeners with a request that is being read, is in hand, or whose answer is being written.
-  /// From any thread.
+  /// Number of connections of these listeners on which a request is being read or handled, or its answer being written.
+  /// May be called from any thread.
   std::size_t busyConnections(Audience audience) const;
-  /// From now on each connection ends after its answer.
+  /// Closes every connection after its next answer. New connections are still accepted.
   void drain();
   void stopAccepting();
 
--- a/libs/node/include/limeramp/node/peer_link.h
+++ b/libs/node/include/limeramp/node/peer_link.h
@@ -8,24 +8,25 @@
 #include <string>
 #include <vector>
 
-/// The way between the processes of one fleet.
+/// Messages between the processes of one fleet.
 namespace limeramp::node {
 
-/// The messages between the processes of one fleet: puts them into envelopes, sends them, and opens those that arrive.
+/// Exchanges messages between the processes of one fleet: encodes and sends envelopes, and decodes those received.
 ///
-/// Sending is one way and may lose any message; senders repeat what matters. A process learns its fleet only once it
-/// holds a configuration or an epoch, so each call names the fleet that the process belongs to now; empty for none yet.
+/// Sending is one-way and any message may be lost; senders repeat what must arrive. A process learns its fleet only
+/// once it holds a configuration or an epoch, so each call passes the current fleet of the process; empty if not known
+/// yet.
 class PeerLink {
  public:
-  /// @param node how this process is named to others
-  /// @param address where others reach it
+  /// @param node the name of this process in its envelopes
+  /// @param address the address at which other processes reach it
   PeerLink(net::Network& network, std::string const& node, std::string const& address);
 
-  /// Sends messages; any may be lost.
+  /// Sends a message to one process; it may be lost.
   void send(std::string const& fleet, std::string const& address, messages::Message message);
   void sendAll(std::string const& fleet, std::vector<distribution::Outgoing> const& sends);
 
-  /// Opens an envelope that arrived.
+  /// Decodes a received envelope.
   /// @return nothing, after logging E601, if it is malformed or from another fleet
   static std::optional<messages::PeerMessage> open(std::string const& fleet, std::string const& envelope);
 
--- a/libs/node/include/limeramp/node/settings_follower.h
+++ b/libs/node/include/limeramp/node/settings_follower.h
@@ -7,19 +7,19 @@
 #include <memory>
 #include <optional>
 
-/// Settings that change while the process runs.
+/// Reloading of settings while the process runs.
 namespace limeramp::node {
 
 /// The steady clock of this machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// How long a process goes without looking at its settings file.
+/// Interval at which a process checks its settings file for changes.
 constexpr std::chrono::milliseconds settingsLookMs{5'000};
 
-/// Keeps a running process on its newest usable settings.
+/// Keeps a running process on the latest valid settings of its settings file.
 ///
-/// A file that cannot be read or contradicts itself leaves the former settings in force. Every outcome is logged:
-/// E104 what changed, E105 what waits for a restart, E102 what makes the file unusable.
+/// If the file cannot be read or is invalid, the previous settings stay in force. Logged events: E104 lists the
+/// settings that changed, E105 those that take effect at a restart, E102 the reason why the file is rejected.
 class SettingsFollower {
  public:
   /// @param inForce the settings that the process started with
@@ -28,15 +28,15 @@
   SettingsFollower(SettingsFollower const&) = delete;
   SettingsFollower& operator=(SettingsFollower const&) = delete;
 
-  /// From now on looks at this file. Without one nothing changes.
+  /// Sets the file to follow. Until then the settings do not change.
   void follow(config::SettingsFile file);
 
-  /// Looks at the file if the last look is `settingsLookMs` ago. Call it from an existing timer.
-  /// @return what to apply, if any setting changed in place
+  /// Checks the file if the last check is `settingsLookMs` ago. Called from an existing timer of the process.
+  /// @return the update to apply, if any setting changed in place
   std::optional<config::SettingsUpdate> tick(TimePoint now);
 
-  /// Reads the file at once, however it looks.
-  /// @return what to apply, if any setting changed in place
+  /// Reads the file immediately, even if it appears unchanged.
+  /// @return the update to apply, if any setting changed in place
   std::optional<config::SettingsUpdate> reload(TimePoint now);
 
   /// The settings in force now.
--- a/libs/node/src/settings_follower.cpp
+++ b/libs/node/src/settings_follower.cpp
@@ -9,11 +9,11 @@
 struct SettingsFollower::Impl {
   config::Settings inForce;
   std::optional<config::SettingsFile> file;
-  TimePoint nextLookAt{};
+  TimePoint nextCheckAt{};
   std::vector<std::string> waitingForRestart;
   config::Problem lastProblem;
 
-  std::optional<config::SettingsUpdate> take(config::CheckedSettings const& checked) {
+  std::optional<config::SettingsUpdate> apply(config::CheckedSettings const& checked) {
     if (!checked.settings) {
       config::Problem const problem = checked.problems.empty() ? config::Problem{} : checked.problems.front();
       if (problem.path != lastProblem.path || problem.reason != lastProblem.reason) {
@@ -46,21 +46,21 @@
 void SettingsFollower::follow(config::SettingsFile file) { impl_->file = std::move(file); }
 
 std::optional<config::SettingsUpdate> SettingsFollower::tick(TimePoint now) {
-  if (!impl_->file || now < impl_->nextLookAt) {
+  if (!impl_->file || now < impl_->nextCheckAt) {
     return std::nullopt;
   }
-  impl_->nextLookAt = now + settingsLookMs;
+  impl_->nextCheckAt = now + settingsLookMs;
   std::optional<config::CheckedSettings> const checked = impl_->file->readIfChanged();
-  return checked ? impl_->take(*checked) : std::nullopt;
+  return checked ? impl_->apply(*checked) : std::nullopt;
 }
 
 std::optional<config::SettingsUpdate> SettingsFollower::reload(TimePoint now) {
   if (!impl_->file) {
     return std::nullopt;
   }
-  impl_->nextLookAt = now + settingsLookMs;
+  impl_->nextCheckAt = now + settingsLookMs;
   impl_->lastProblem = {};
-  return impl_->take(impl_->file->read());
+  return impl_->apply(impl_->file->read());
 }
 
 config::Settings const& SettingsFollower::inForce() const { return impl_->inForce; }
--- a/tests/http_adversary_test.cpp
+++ b/tests/http_adversary_test.cpp
@@ -19,8 +19,8 @@
 using Ms = std::chrono::milliseconds;
 using retry::Verdict;
 
-constexpr Ms patienceMs{30'000};
-constexpr std::size_t exchangesOfAStorm = 2500;
+constexpr Ms timeoutMs{30'000};
+constexpr std::size_t exchangesPerWorkload = 2500;
 
 std::string bodyOf(std::string const& id, std::size_t size) { return id + "|" + std::string(size, 'x') + "|" + id; }
 
@@ -59,12 +59,12 @@
   return "HTTP/1.0 200 OK\r\n" + identity + length + body;
 }
 
-/// What a stand-in server does with an exchange. The caller draws it and sends it along.
+/// The fault that a stand-in server injects into an exchange. The caller chooses it at random and sends it in x-plan.
 enum class Fault {
   none,
   cut,
   reset,
-  mute,
+  noAnswer,
   late,
   otherId,
   noId,
@@ -114,7 +114,7 @@
       out.bytes.resize(plan.at % out.bytes.size());
       out.ending = plan.fault == Fault::cut ? Ending::closes : Ending::resets;
       break;
-    case Fault::mute:
+    case Fault::noAnswer:
       out.bytes.clear();
       out.ending = Ending::stays;
       out.spoils = true;
@@ -159,11 +159,11 @@
   return out;
 }
 
-/// Whether the answer that a caller got is one that its server sent it whole.
-bool isOwnWholeAnswer(std::string const& id, Plan const& plan, Answer const& answer) {
+/// Whether the server sent this answer, completely, to this request.
+bool isOwnCompleteAnswer(std::string const& id, Plan const& plan, Answer const& answer) {
   std::string const expected = bodyOf(id, plan.size);
   switch (plan.fault) {
-    case Fault::mute:
+    case Fault::noAnswer:
     case Fault::otherId:
     case Fault::noId:
     case Fault::cutsRequest:
@@ -187,11 +187,11 @@
   std::vector<std::string> wrong;
 };
 
-/// Callers of one HttpClient, several at once, against stand-in servers that break every exchange in a drawn way.
-class ClientStorm {
+/// Runs concurrent calls of one HttpClient against stand-in servers that inject a randomly chosen fault into exchanges.
+class ClientFaultWorkload {
  public:
-  ClientStorm(unsigned seed, std::size_t exchanges)
-      : seed_(seed), most_(exchanges), random_(seed), client_(network_, {}) {
+  ClientFaultWorkload(unsigned seed, std::size_t exchanges)
+      : seed_(seed), maxExchanges_(exchanges), random_(seed), client_(network_, {}) {
     StandInServer::Script const script = [this](SeenRequest const& seen) {
       std::uint64_t const attempt = std::stoull(seen.header("x-attempt"));
       return reactTo(seen.header("x-id"), Plan::parse(seen.header("x-plan")), seen.head.size(),
@@ -201,13 +201,13 @@
       server = std::make_unique<StandInServer>("x-id", script);
     }
   }
-  ~ClientStorm() { network_.stop(); }
+  ~ClientFaultWorkload() { network_.stop(); }
 
   Outcome run() {
     for (std::size_t flow = 0; flow < flows; ++flow) {
       network_.post([this] { next(); });
     }
-    left_.wait();
+    remainingFlows_.wait();
     std::promise<void> caughtUp;
     network_.post([&] { caughtUp.set_value(); });
     caughtUp.get_future().wait();
@@ -219,8 +219,8 @@
   static constexpr std::size_t flows = 8;
 
   void next() {
-    if (outcome_.exchanges == most_) {
-      left_.count_down();
+    if (outcome_.exchanges == maxExchanges_) {
+      remainingFlows_.count_down();
       return;
     }
     std::uint64_t const attempt = ++outcome_.exchanges;
@@ -238,22 +238,22 @@
       plan.at = attempt % request.body.size();
       request.headers[1].second = plan.text();
     }
-    Clock::time_point const deadline = Clock::now() + (random_() % 100 == 0 ? Ms(random_() % 3) : patienceMs);
+    Clock::time_point const deadline = Clock::now() + (random_() % 100 == 0 ? Ms(random_() % 3) : timeoutMs);
     client_.begin(attempt, servers_[random_() % servers_.size()]->address(), std::move(request), deadline,
                   [this, id, plan](Exchange const& exchange) {
-                    onMessage(id, plan, exchange);
+                    onExchange(id, plan, exchange);
                     next();
                   });
   }
 
-  void onMessage(std::string const& id, Plan const& plan, Exchange const& exchange) {
-    if (!heard_.insert(id).second) {
+  void onExchange(std::string const& id, Plan const& plan, Exchange const& exchange) {
+    if (!completed_.insert(id).second) {
       outcome_.wrong.push_back(id + " was answered twice");
     }
     if (exchange.answer.has_value() != (exchange.verdict == Verdict::ran)) {
       outcome_.wrong.push_back(id + " has a verdict against its answer");
     }
-    if (exchange.answer && !isOwnWholeAnswer(id, plan, *exchange.answer)) {
+    if (exchange.answer && !isOwnCompleteAnswer(id, plan, *exchange.answer)) {
       outcome_.wrong.push_back(id + " by plan " + plan.text() + " got " + exchange.answer->body.substr(0, 60));
     }
     outcome_.answered += exchange.answer ? 1 : 0;
@@ -287,26 +287,26 @@
   }
 
   unsigned seed_;
-  std::size_t most_;
+  std::size_t maxExchanges_;
   std::mt19937 random_;
-  std::latch left_{flows};
+  std::latch remainingFlows_{flows};
   Outcome outcome_;
-  std::set<std::string> heard_;
+  std::set<std::string> completed_;
   std::set<std::string> notRun_;
   Network network_;
   HttpClient client_;
   std::array<std::unique_ptr<StandInServer>, 3> servers_;
 };
 
-TEST(HttpAdversary, EachCallerOfAClientGetsItsOwnWholeAnswerOrNone) {
+TEST(HttpAdversary, ClientCallersGetTheirOwnCompleteAnswerOrNone) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
-    Outcome const outcome = ClientStorm(seed, exchangesOfAStorm).run();
+    Outcome const outcome = ClientFaultWorkload(seed, exchangesPerWorkload).run();
     std::printf("seed %u: %zu exchanges on %zu connections, %zu answered, %zu not run, %zu in doubt\n", seed,
                 outcome.exchanges, outcome.connections, outcome.answered, outcome.notRun, outcome.mayHaveRun);
     for (std::string const& wrong : outcome.wrong) {
       ADD_FAILURE() << "seed " << seed << ": " << wrong;
     }
-    EXPECT_EQ(outcome.answered + outcome.notRun + outcome.mayHaveRun, exchangesOfAStorm);
+    EXPECT_EQ(outcome.answered + outcome.notRun + outcome.mayHaveRun, exchangesPerWorkload);
     EXPECT_GT(outcome.answered, 500u);
     EXPECT_GT(outcome.mayHaveRun, 200u);
   }
@@ -317,14 +317,14 @@
   std::promise<Exchange> promise;
   Request request{"POST", "/", {{"x-id", "own"}}, "body", ""};
   request.identity = {"x-id", "x-id", true};
-  client.begin(attempt, listener.address(), std::move(request), Clock::now() + patienceMs,
+  client.begin(attempt, listener.address(), std::move(request), Clock::now() + timeoutMs,
                [&promise](Exchange exchange) { promise.set_value(std::move(exchange)); });
   RawSocket server = accepting.accept();
   serve(server);
   return promise.get_future().get();
 }
 
-TEST(HttpAdversary, AResetAtAnyByteOfARequestLeavesItInDoubt) {
+TEST(HttpAdversary, ResetAtAnyByteOfARequestGivesMayHaveRun) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -351,7 +351,7 @@
   }
 }
 
-TEST(HttpAdversary, AnAnswerThatEndsAtAnyByteButItsLastIsNone) {
+TEST(HttpAdversary, TruncatedAnswerIsNeverTreatedAsComplete) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -381,8 +381,8 @@
   std::printf("%zu answers cut or reset\n", cuts);
 }
 
-TEST(HttpAdversary, ASurplusAnswerInThePlaceOfTheNextEndsItsConnection) {
-  for (bool const named : {true, false}) {
+TEST(HttpAdversary, AnswerWithWrongOrMissingIdClosesTheConnection) {
+  for (bool const withOtherId : {true, false}) {
     Network network;
     HttpClient client(network, {});
     RawListener listener;
@@ -399,10 +399,10 @@
     ASSERT_TRUE(first.answer.has_value());
     Request request{"POST", "/", {{"x-id", "second"}}, "body", ""};
     request.identity = {"x-id", "x-id", true};
-    client.begin(2, listener.address(), std::move(request), Clock::now() + patienceMs,
+    client.begin(2, listener.address(), std::move(request), Clock::now() + timeoutMs,
                  [&](Exchange exchange) { second.set_value(std::move(exchange)); });
     kept->message();
-    kept->send(answerOf(named ? "own" : "", 3, Framing::length));
+    kept->send(answerOf(withOtherId ? "own" : "", 3, Framing::length));
     Exchange const exchange = second.get_future().get();
     EXPECT_FALSE(exchange.answer.has_value());
     EXPECT_EQ(exchange.verdict, Verdict::mayHaveRun);
@@ -412,21 +412,21 @@
   }
 }
 
-/// What a handler does with a request; the caller draws it and sends it along.
-enum class Handling { atOnce, later, twice, dropped };
+/// How a handler answers a request. The caller chooses it at random and sends it in x-do.
+enum class Handling { immediately, later, twice, dropped };
 constexpr int handlings = 4;
 
-/// An HttpServer whose handler answers in a drawn order from another thread, twice, or never.
-class DisorderlyServer {
+/// An HttpServer whose handler answers in random order from another thread, twice, or never.
+class ReorderingServer {
  public:
-  explicit DisorderlyServer(unsigned seed) : random_(seed) {
+  explicit ReorderingServer(unsigned seed) : random_(seed) {
     std::string error;
     server_ = HttpServer::listen(
         network_, {"127.0.0.1", 0}, {},
-        [this](Request request, Responder respond) { take(std::move(request), std::move(respond)); }, error);
+        [this](Request request, Responder respond) { handleRequest(std::move(request), std::move(respond)); }, error);
     thread_ = std::thread([this] { answerLater(); });
   }
-  ~DisorderlyServer() {
+  ~ReorderingServer() {
     {
       std::unique_lock<std::mutex> const lock(mutex_);
       ends_ = true;
@@ -443,7 +443,7 @@
   }
 
  private:
-  void take(Request request, Responder respond) {
+  void handleRequest(Request request, Responder respond) {
     std::string const id = findHeader(request.headers, "x-id").value_or("");
     bool const whole = request.body.starts_with(id + "|") && request.body.ends_with("|" + id);
     std::unique_lock<std::mutex> lock(mutex_);
@@ -492,18 +492,18 @@
   std::thread thread_;
 };
 
-/// How a caller leaves its connection after the requests that it sent whole.
-enum class Leaving { inOrder, cuts, resets, surplus };
-constexpr int leavings = 4;
+/// How a caller ends its connection after its complete requests.
+enum class ConnectionEnd { inOrder, cuts, resets, surplus };
+constexpr int connectionEnds = 4;
 
-/// One caller after the other, each on a connection of its own with some requests at once.
-class DisorderlyCaller {
+/// Opens one connection after another, sends pipelined requests on it and checks the answers.
+class FaultyCaller {
  public:
-  DisorderlyCaller(unsigned seed, std::string prefix, Address const& server)
+  FaultyCaller(unsigned seed, std::string prefix, Address const& server)
       : random_(seed), prefix_(std::move(prefix)), server_(server) {}
 
   void connectOnce() {
-    Leaving const draining = static_cast<Leaving>(random_() % leavings);
+    ConnectionEnd const connectionEnd = static_cast<ConnectionEnd>(random_() % connectionEnds);
     std::size_t const count = 1 + random_() % 4;
     std::vector<std::string> ids;
     std::string bytes;
@@ -511,45 +511,45 @@
     for (std::size_t index = 0; index < count && !dropped; ++index) {
       Handling const handling = static_cast<Handling>(random_() % 12 == 0 ? random_() % handlings : random_() % 3);
       dropped = handling == Handling::dropped;
-      bytes += draw(handling);
-      ids.push_back(last());
+      bytes += drawRequest(handling);
+      ids.push_back(lastId());
     }
     std::string tail;
-    if (draining == Leaving::cuts || draining == Leaving::resets) {
-      std::string const whole = draw(Handling::atOnce);
-      tail = whole.substr(0, ++cutAt_ % whole.size());
-      cut_.insert(last());
-    } else if (draining == Leaving::surplus) {
+    if (connectionEnd == ConnectionEnd::cuts || connectionEnd == ConnectionEnd::resets) {
+      std::string const whole = drawRequest(Handling::immediately);
+      tail = whole.substr(0, ++nextCut_ % whole.size());
+      cut_.insert(lastId());
+    } else if (connectionEnd == ConnectionEnd::surplus) {
       tail = "surplus bytes\r\n\r\n";
     }
     RawSocket socket = RawSocket::to(server_);
     sendInPieces(socket, bytes + tail);
-    if (draining == Leaving::resets) {
+    if (connectionEnd == ConnectionEnd::resets) {
       socket.reset();
-      maybe_.insert(ids.begin(), ids.end());
+      mayHaveRead_.insert(ids.begin(), ids.end());
       return;
     }
-    if (draining != Leaving::surplus) {
+    if (connectionEnd != ConnectionEnd::surplus) {
       socket.halfClose();
     }
     readAnswers(socket, ids, dropped);
   }
 
   std::vector<std::string> const& wrong() const { return wrong_; }
-  /// Requests that were sent whole on a connection that was not reset.
+  /// Requests that were sent completely on a connection that was not reset.
   std::set<std::string> const& whole() const { return whole_; }
-  /// Requests of connections that were reset: the server may have read them.
-  std::set<std::string> const& maybe() const { return maybe_; }
-  /// Requests that were never sent whole.
+  /// Requests that the server may have read: sent on a connection that was reset, or left without an answer.
+  std::set<std::string> const& mayHaveRead() const { return mayHaveRead_; }
+  /// Requests that were not sent completely.
   std::set<std::string> const& cut() const { return cut_; }
 
  private:
-  std::string last() const { return prefix_ + std::to_string(number_); }
+  std::string lastId() const { return prefix_ + std::to_string(number_); }
 
-  std::string draw(Handling handling) {
+  std::string drawRequest(Handling handling) {
     ++number_;
-    std::string const body = bodyOf(last(), random_() % 8 == 0 ? random_() % 6000 : random_() % 40);
-    std::string const head = "POST / HTTP/1.1\r\nhost: h\r\nx-id: " + last() +
+    std::string const body = bodyOf(lastId(), random_() % 8 == 0 ? random_() % 6000 : random_() % 40);
+    std::string const head = "POST / HTTP/1.1\r\nhost: h\r\nx-id: " + lastId() +
                              "\r\nx-do: " + std::to_string(static_cast<int>(handling)) + "\r\n";
     return random_() % 2 == 0 ? head + "content-length: " + std::to_string(body.size()) + "\r\n\r\n" + body
                               : head + "transfer-encoding: chunked\r\n\r\n" + chunked(body);
@@ -567,7 +567,7 @@
     for (std::size_t index = 0; index < ids.size(); ++index) {
       std::string const answer = socket.message();
       if (dropped && index + 1 == ids.size()) {
-        maybe_.insert(ids[index]);
+        mayHaveRead_.insert(ids[index]);
         if (!answer.empty()) {
           wrong_.push_back(ids[index] + " was dropped and got " + answer.substr(0, 100));
         }
@@ -591,24 +591,24 @@
   std::string prefix_;
   Address server_;
   std::size_t number_ = 0;
-  std::size_t cutAt_ = 0;
+  std::size_t nextCut_ = 0;
   std::vector<std::string> wrong_;
   std::set<std::string> whole_;
-  std::set<std::string> maybe_;
+  std::set<std::string> mayHaveRead_;
   std::set<std::string> cut_;
 };
 
-TEST(HttpAdversary, EachCallerOfAServerGetsItsOwnAnswersInOrderAndNoCutRequestRuns) {
+TEST(HttpAdversary, ServerCallersGetOrderedAnswersAndTruncatedRequestsNeverRun) {
   constexpr unsigned seed = 1;
   constexpr int connectionsEach = 300;
-  DisorderlyServer server(seed);
-  std::vector<DisorderlyCaller> callers;
+  ReorderingServer server(seed);
+  std::vector<FaultyCaller> callers;
   for (unsigned index = 0; index < 6; ++index) {
     callers.emplace_back(seed * 100 + index, "c" + std::to_string(index) + "n", server.address());
   }
   std::vector<std::thread> threads;
   threads.reserve(callers.size());
-  for (DisorderlyCaller& caller : callers) {
+  for (FaultyCaller& caller : callers) {
     threads.emplace_back([&caller] {
       for (int round = 0; round < connectionsEach; ++round) {
         caller.connectOnce();
@@ -621,7 +621,7 @@
   std::map<std::string, int> const seen = server.seen();
   std::size_t whole = 0;
   std::size_t cut = 0;
-  for (DisorderlyCaller const& caller : callers) {
+  for (FaultyCaller const& caller : callers) {
     for (std::string const& wrong : caller.wrong()) {
       ADD_FAILURE() << wrong;
     }
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -19,28 +19,28 @@
 
 std::string const okAnswer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-std::future<Exchange> start(HttpClient& client, std::uint64_t attempt, Address const& server,
-                            Ms patienceMs = Ms(30'000), Request request = {"GET", "/", {}, "", ""}) {
+std::future<Exchange> start(HttpClient& client, std::uint64_t attempt, Address const& server, Ms timeoutMs = Ms(30'000),
+                            Request request = {"GET", "/", {}, "", ""}) {
   std::shared_ptr<std::promise<Exchange>> const promise = std::make_shared<std::promise<Exchange>>();
-  client.begin(attempt, server, std::move(request), Clock::now() + patienceMs,
+  client.begin(attempt, server, std::move(request), Clock::now() + timeoutMs,
                [promise](Exchange exchange) { promise->set_value(std::move(exchange)); });
   return promise->get_future();
 }
 
-void settle(Network& network, Ms delayMs = Ms(0)) {
+void waitOnNetwork(Network& network, Ms delayMs = Ms(0)) {
   std::promise<void> done;
   network.after(delayMs, [&] { done.set_value(); });
   done.get_future().wait();
 }
 
 void waitForIdle(Network& network, HttpClient const& client, std::size_t idle) {
-  for (int turns = 0; turns < 10'000 && client.counters().all.idle != idle; ++turns) {
-    settle(network, Ms(1));
+  for (int polls = 0; polls < 10'000 && client.counters().all.idle != idle; ++polls) {
+    waitOnNetwork(network, Ms(1));
   }
   EXPECT_EQ(client.counters().all.idle, idle);
 }
 
-TEST(HttpClient, SkipsInterimAnswersAndUsesItsConnectionAgain) {
+TEST(HttpClient, SkipsInterimAnswersAndReusesTheConnection) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -62,14 +62,14 @@
   EXPECT_EQ(counters.servers.at(listener.address().text()).opened, 1U);
 }
 
-TEST(HttpClient, AnswersThatAreCutShortOrStrangeMayHaveRun) {
+TEST(HttpClient, TruncatedOrInvalidAnswersGiveVerdictMayHaveRun) {
   Network network;
   ClientBounds bounds;
   bounds.maxAnswerBytes = 100;
   HttpClient client(network, bounds);
   std::uint64_t number = 0;
   std::string interim;
-  for (int many = 0; many < 100; ++many) {
+  for (int count = 0; count < 100; ++count) {
     interim += "HTTP/1.1 100 Continue\r\n\r\n";
   }
   for (std::string const& answer :
@@ -96,7 +96,7 @@
   EXPECT_EQ(client.counters().all.idle, 0U);
 }
 
-TEST(HttpClient, AnAnswerThatEndsByCloseIsMarked) {
+TEST(HttpClient, MarksAnswersThatEndByConnectionClose) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -116,7 +116,7 @@
   EXPECT_FALSE(next.get().answer->endedByClose);
 }
 
-TEST(HttpClient, AHeadAnswerHasNoBody) {
+TEST(HttpClient, AnswerToHeadHasNoBody) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -128,7 +128,7 @@
   EXPECT_EQ(client.counters().all.idle, 1U);
 }
 
-TEST(HttpClient, NeverUsesASpoiltConnectionAgain) {
+TEST(HttpClient, DoesNotReuseUncleanConnections) {
   Network network;
   for (std::string const& answer :
        {okAnswer + "HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\nothers", okAnswer + "x",
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(HttpClient, NoticesAtOnceWhatHappensToAnIdleConnection) {
+TEST(HttpClient, ClosesIdleConnectionsOnEofOrUnexpectedBytes) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -167,7 +167,7 @@
   EXPECT_EQ(client.counters().all.opened, 2U);
 }
 
-TEST(HttpClient, HoldsIdleConnectionsAsLongAsBothSidesWish) {
+TEST(HttpClient, KeepsIdleConnectionsForTheShorterOfBothTimeouts) {
   Network network;
   ClientBounds bounds;
   bounds.idleMs = Ms(10'000);
@@ -185,8 +185,8 @@
   EXPECT_LT(Clock::now() - answeredAt, Ms(1000));
   ClientBounds shortBounds;
   shortBounds.idleMs = Ms(50);
-  HttpClient brief(network, shortBounds);
-  std::future<Exchange> again = start(brief, 1, listener.address());
+  HttpClient shortIdleClient(network, shortBounds);
+  std::future<Exchange> again = start(shortIdleClient, 1, listener.address());
   RawSocket other = listener.accept();
   other.message();
   other.send("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=100\r\ncontent-length: 2\r\n\r\nok");
@@ -194,7 +194,7 @@
   EXPECT_EQ(other.rest(), "");
 }
 
-TEST(HttpClient, TakesTheNewestIdleConnectionFirstAndKeepsFew) {
+TEST(HttpClient, ReusesTheNewestIdleConnectionAndLimitsIdleOnes) {
   Network network;
   ClientBounds bounds;
   bounds.maxIdlePerServer = 2;
@@ -220,7 +220,7 @@
   EXPECT_EQ(client.counters().all.reused, 1U);
 }
 
-TEST(HttpClient, WaitsForAFreeConnectionInOrderAndWithinItsDeadline) {
+TEST(HttpClient, AttemptsWaitForAConnectionInOrderUntilTheirDeadline) {
   Network network;
   ClientBounds bounds;
   bounds.maxWaitingPerServer = 3;
@@ -256,7 +256,7 @@
   EXPECT_EQ(client.counters().all.waiting, 0U);
 }
 
-TEST(HttpClient, ALimitThatIsRaisedLetsTheWaitingOn) {
+TEST(HttpClient, RaisedConnectionLimitServesWaitingAttempts) {
   Network network;
   ClientBounds bounds;
   bounds.maxConnectionsPerServer = 1;
@@ -275,7 +275,7 @@
   EXPECT_EQ(first.get().answer->body, "ok");
 }
 
-TEST(HttpClient, EndsAtTheDeadlineAndByCancel) {
+TEST(HttpClient, AttemptsEndAtTheirDeadlineOrByCancel) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -297,16 +297,16 @@
   client.cancel(77);
 }
 
-TEST(HttpClient, AConnectHasALimitOfItsOwn) {
+TEST(HttpClient, ConnectHasItsOwnTimeout) {
   Network network;
   ClientBounds bounds;
   bounds.connectMs = Ms(100);
   HttpClient client(network, bounds);
   RawListener listener(0);
-  std::vector<RawSocket> filling;
-  filling.reserve(4);
+  std::vector<RawSocket> backlogFillers;
+  backlogFillers.reserve(4);
   for (int number = 0; number < 4; ++number) {
-    filling.push_back(RawSocket::dial(listener.address()));
+    backlogFillers.push_back(RawSocket::dial(listener.address()));
   }
   Clock::time_point const begun = Clock::now();
   Exchange const exchange = start(client, 1, listener.address()).get();
@@ -316,7 +316,7 @@
   EXPECT_LT(Clock::now() - begun, Ms(2000));
 }
 
-TEST(HttpClient, ARefusedConnectIsSaidSoAndNeverFromWithinBegin) {
+TEST(HttpClient, RefusedConnectIsReportedAndNotFromWithinBegin) {
   Network network;
   HttpClient client(network, {});
   Address closed;
@@ -341,7 +341,7 @@
   EXPECT_EQ(start(client, 3, Address{}).get().verdict, Verdict::notRun);
 }
 
-TEST(HttpClient, BeginAndCancelOnTheNetworksThreadNeverCallBackFromWithin) {
+TEST(HttpClient, BeginAndCancelOnTheNetworkThreadDeferTheCallback) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -355,12 +355,12 @@
     client.cancel(1);
     *inside = false;
   });
-  std::pair<bool, Exchange> const got = promise.get_future().get();
-  EXPECT_FALSE(got.first);
-  EXPECT_EQ(got.second.verdict, Verdict::notRun);
+  std::pair<bool, Exchange> const outcome = promise.get_future().get();
+  EXPECT_FALSE(outcome.first);
+  EXPECT_EQ(outcome.second.verdict, Verdict::notRun);
 }
 
-TEST(HttpClient, AnAnswerBeforeTheWholeRequestWasReadIsUsed) {
+TEST(HttpClient, AcceptsAnAnswerBeforeTheRequestWasSentCompletely) {
   Network network;
   HttpClient client(network, {});
   RawListener listener;
@@ -375,7 +375,7 @@
   EXPECT_EQ(client.counters().all.idle, 0U);
 }
 
-TEST(HttpClient, LargeBodiesTravelBothWays) {
+TEST(HttpClient, TransfersLargeBodiesInBothDirections) {
   Network network;
   std::string error;
   ServerBounds bounds;
@@ -399,7 +399,7 @@
   network.stop();
 }
 
-TEST(HttpClient, ThousandsOfExchangesNeedFewConnections) {
+TEST(HttpClient, FourConcurrentFlowsOpenFourConnections) {
   Network serverSide;
   Network clientSide;
   std::string error;
@@ -411,35 +411,35 @@
       error);
   HttpClient client(clientSide, {});
   std::atomic<std::uint64_t> issued{0};
-  std::atomic<int> right{0};
-  std::latch left(4);
+  std::atomic<int> correct{0};
+  std::latch remainingFlows(4);
   std::function<void()> next = [&] {
     std::uint64_t const number = ++issued;
     if (number > 4000) {
-      left.count_down();
+      remainingFlows.count_down();
       return;
     }
     std::string const target = numbered("/", static_cast<long>(number));
     client.begin(number, server->address(), {"GET", target, {}, "", ""}, Clock::now() + Ms(30'000),
                  [&, target](Exchange const& exchange) {
-                   right += exchange.answer && exchange.answer->body == target ? 1 : 0;
+                   correct += exchange.answer && exchange.answer->body == target ? 1 : 0;
                    next();
                  });
   };
-  for (int width = 0; width < 4; ++width) {
+  for (int flow = 0; flow < 4; ++flow) {
     clientSide.post(next);
   }
-  left.wait();
-  EXPECT_EQ(right, 4000);
+  remainingFlows.wait();
+  EXPECT_EQ(correct, 4000);
   EXPECT_EQ(client.counters().all.opened, 4U);
   EXPECT_EQ(client.counters().all.reused, 3996U);
   clientSide.stop();
   serverSide.stop();
 }
 
-class Mailbox {
+class RecordingPeer {
  public:
-  explicit Mailbox(bool answers = true)
+  explicit RecordingPeer(bool answers = true)
       : server(HttpServer::listen(
             network, {"127.0.0.1", 0}, {},
             [this, answers](Request request, Responder respond) {
@@ -454,7 +454,7 @@
               changed.notify_all();
             },
             error)) {}
-  ~Mailbox() { network.stop(); }
+  ~RecordingPeer() { network.stop(); }
 
   void waitFor(std::size_t count) {
     std::unique_lock<std::mutex> lock(mutex);
@@ -472,41 +472,41 @@
   std::unique_ptr<HttpServer> server;
 };
 
-TEST(PeerSender, GoesBackToBackOnOneConnection) {
-  Mailbox box;
+TEST(PeerSender, SendsInOrderOverOneConnection) {
+  RecordingPeer peer;
   Network network;
-  PeerSender mail(network, "127.0.0.1:1");
+  PeerSender sender(network, "127.0.0.1:1");
   std::vector<std::string> sent;
   for (int number = 0; number < 20; ++number) {
     sent.push_back(numbered("parcel ", static_cast<long>(number)));
-    mail.send(box.server->address().text(), sent.back());
+    sender.send(peer.server->address().text(), sent.back());
   }
-  box.waitFor(20);
-  std::unique_lock<std::mutex> const lock(box.mutex);
-  EXPECT_EQ(box.bodies, sent);
-  EXPECT_EQ(std::count(box.peers.begin(), box.peers.end(), box.peers.front()), 20);
+  peer.waitFor(20);
+  std::unique_lock<std::mutex> const lock(peer.mutex);
+  EXPECT_EQ(peer.bodies, sent);
+  EXPECT_EQ(std::count(peer.peers.begin(), peer.peers.end(), peer.peers.front()), 20);
 }
 
-TEST(PeerSender, IsBoundedAndAFailingPeerHoldsNoOther) {
-  Mailbox silent(false);
-  Mailbox box;
+TEST(PeerSender, LimitsOutstandingMessagesAndIsolatesUnresponsivePeers) {
+  RecordingPeer silent(false);
+  RecordingPeer peer;
   Network network;
-  PeerSender mail(network, "127.0.0.1:1");
+  PeerSender sender(network, "127.0.0.1:1");
   for (int number = 0; number < 100; ++number) {
-    mail.send(silent.server->address().text(), std::to_string(number));
+    sender.send(silent.server->address().text(), std::to_string(number));
     if (number % 10 == 0) {
-      mail.send(box.server->address().text(), std::to_string(number));
+      sender.send(peer.server->address().text(), std::to_string(number));
     }
   }
-  mail.send("nowhere", "");
-  box.waitFor(10);
+  sender.send("nowhere", "");
+  peer.waitFor(10);
   silent.waitFor(1);
   {
     std::unique_lock<std::mutex> const lock(silent.mutex);
     silent.held.front()({204, {}, ""});
   }
   silent.waitFor(2);
-  settle(network, Ms(1700));
+  waitOnNetwork(network, Ms(1700));
   std::unique_lock<std::mutex> const lock(silent.mutex);
   EXPECT_LE(silent.bodies.size(), 32U);
 }
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -19,11 +19,11 @@
 
 Address const anyPort{"127.0.0.1", 0};
 
-class Served {
+class TestServer {
  public:
-  explicit Served(ServerOptions options = {}, HttpServer::Handler handler = echo())
+  explicit TestServer(ServerOptions options = {}, HttpServer::Handler handler = echo())
       : server(HttpServer::listen(network, anyPort, std::move(options), std::move(handler), error)) {}
-  ~Served() { network.stop(); }
+  ~TestServer() { network.stop(); }
 
   static HttpServer::Handler echo() {
     return [](Request request, Responder respond) {
@@ -49,9 +49,9 @@
 
 std::string statusOf(std::string const& answer) { return answer.size() < 12 ? answer : answer.substr(9, 3); }
 
-TEST(HttpServer, RefusesWhatIsMalformedTooLongOrTooSlow) {
+TEST(HttpServer, RefusesMalformedOversizedAndSlowRequests) {
   std::atomic<int> handled{0};
-  Served served(shortBounds(), [&](Request, Responder respond) {
+  TestServer served(shortBounds(), [&](Request, Responder respond) {
     ++handled;
     respond({200, {}, ""});
   });
@@ -111,13 +111,13 @@
   EXPECT_EQ(handled, 0);
 }
 
-TEST(HttpServer, WhoComesBeforeItOpensWaitsAndIsServedThen) {
+TEST(HttpServer, ConnectionsBeforeOpenAreServedAfterOpen) {
   ServerOptions options;
   options.opensLater = true;
   std::atomic<bool> opened{false};
-  std::atomic<bool> early{false};
-  Served served(options, [&](Request, Responder respond) {
-    early = early || !opened;
+  std::atomic<bool> handledBeforeOpen{false};
+  TestServer served(options, [&](Request, Responder respond) {
+    handledBeforeOpen = handledBeforeOpen || !opened;
     respond({200, {}, "late"});
   });
   RawSocket caller = served.call();
@@ -128,15 +128,15 @@
   opened = true;
   served.server->open();
   EXPECT_EQ(statusOf(caller.message()), "200");
-  EXPECT_FALSE(early);
+  EXPECT_FALSE(handledBeforeOpen);
 }
 
-TEST(HttpServer, RefusesInAnotherDialect) {
+TEST(HttpServer, UsesTheRefuseOptionToBuildRefusals) {
   ServerOptions options(shortBounds());
   options.refuse = [](int status, std::string const& reason) {
     return Answer{status, {{"x-code", numbered("E", status)}}, "<" + reason + ">"};
   };
-  Served served(options);
+  TestServer served(options);
   RawSocket caller = served.call();
   caller.send("POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n");
   std::string const answer = caller.message();
@@ -145,8 +145,8 @@
   EXPECT_TRUE(answer.ends_with(">")) << answer;
 }
 
-TEST(HttpServer, AnIdleConnectionIsClosedWithoutAnAnswer) {
-  Served served(shortBounds());
+TEST(HttpServer, IdleConnectionIsClosedWithoutAnAnswer) {
+  TestServer served(shortBounds());
   RawSocket silent = served.call();
   EXPECT_EQ(silent.rest(), "");
   RawSocket used = served.call();
@@ -156,9 +156,9 @@
   EXPECT_TRUE(used.endsInOrder());
 }
 
-TEST(HttpServer, ACallerThatHasSentNothingMoreIsNotWaitedForWhileItsRequestIsInHand) {
+TEST(HttpServer, IdleTimeoutDoesNotApplyWhileARequestIsHandled) {
   std::promise<Responder> taken;
-  Served served(shortBounds(), [&](Request, Responder respond) { taken.set_value(std::move(respond)); });
+  TestServer served(shortBounds(), [&](Request, Responder respond) { taken.set_value(std::move(respond)); });
   RawSocket caller = served.call();
   caller.send("GET / HTTP/1.1\r\n\r\n");
   Responder const respond = taken.get_future().get();
@@ -169,15 +169,15 @@
   EXPECT_TRUE(caller.message().ends_with("patient"));
 }
 
-TEST(HttpServer, ReadsBodiesInChunksAndInPieces) {
-  Served served;
+TEST(HttpServer, ReadsChunkedBodiesAndBodiesSentInPieces) {
+  TestServer served;
   RawSocket caller = served.call();
   std::string const request =
       "POST /c HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n4\r\ndefg\r\n0\r\nlate: trailer\r\n\r\n";
   caller.send(request);
   EXPECT_TRUE(caller.message().ends_with("POST /c abcdefg"));
-  for (char const inbound : request) {
-    caller.send(std::string_view(&inbound, 1));
+  for (char const character : request) {
+    caller.send(std::string_view(&character, 1));
   }
   EXPECT_TRUE(caller.message().ends_with("POST /c abcdefg"));
   std::string const body(700'000, 'l');
@@ -187,9 +187,9 @@
   EXPECT_TRUE(caller.message().ends_with("POST /n ok"));
 }
 
-TEST(HttpServer, TrailersNeverBecomeHeaders) {
+TEST(HttpServer, TrailersDoNotBecomeHeaders) {
   std::promise<Headers> seen;
-  Served served({}, [&](Request request, Responder respond) {
+  TestServer served({}, [&](Request request, Responder respond) {
     seen.set_value(request.headers);
     respond({200, {}, ""});
   });
@@ -202,8 +202,8 @@
   EXPECT_EQ(headers.size(), 2U);
 }
 
-TEST(HttpServer, AnswersContinueBeforeTheBody) {
-  Served served;
+TEST(HttpServer, SendsContinueBeforeTheBody) {
+  TestServer served;
   RawSocket caller = served.call();
   caller.send("POST /e HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 4\r\n\r\n");
   EXPECT_EQ(caller.head(), "HTTP/1.1 100 Continue\r\n\r\n");
@@ -212,21 +212,21 @@
   caller.send("POST /f HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 4\r\n\r\nbody");
   std::string const answer = caller.message();
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200") && answer.ends_with("POST /f body")) << answer;
-  Served strict(shortBounds());
+  TestServer strict(shortBounds());
   RawSocket tooMuch = strict.call();
   tooMuch.send("POST /g HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 4000\r\n\r\n");
   EXPECT_EQ(statusOf(tooMuch.message()), "413");
 }
 
-TEST(HttpServer, PipelinedRequestsAreServedInOrderAndOneAtATime) {
+TEST(HttpServer, PipelinedRequestsAreHandledOneAtATimeInOrder) {
   std::mutex mutex;
-  std::vector<std::pair<std::string, Responder>> inHand;
+  std::vector<std::pair<std::string, Responder>> pending;
   std::promise<void> first;
   std::atomic<int> taken{0};
-  Served served({}, [&](Request request, Responder respond) {
+  TestServer served({}, [&](Request request, Responder respond) {
     std::unique_lock<std::mutex> const lock(mutex);
     if (++taken == 1) {
-      inHand.emplace_back(request.target, std::move(respond));
+      pending.emplace_back(request.target, std::move(respond));
       first.set_value();
     } else {
       respond({200, {}, request.target + request.body});
@@ -241,7 +241,7 @@
   std::future<bool> sent = std::async(std::launch::async, [&] { return caller.send(many); });
   first.get_future().wait();
   EXPECT_EQ(taken, 1);
-  inHand.front().second({200, {}, inHand.front().first + std::string(300, 'p')});
+  pending.front().second({200, {}, pending.front().first + std::string(300, 'p')});
   EXPECT_TRUE(sent.get());
   for (int number = 0; number < 200; ++number) {
     EXPECT_TRUE(caller.message().ends_with(numbered("\r\n\r\n/", static_cast<long>(number)) + std::string(300, 'p')))
@@ -249,8 +249,8 @@
   }
 }
 
-TEST(HttpServer, APipelineEndsAtARefusal) {
-  Served served;
+TEST(HttpServer, ClosesAPipelinedConnectionAfterARefusal) {
+  TestServer served;
   RawSocket caller = served.call();
   caller.send("GET /1 HTTP/1.1\r\n\r\nnonsense\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
   EXPECT_EQ(statusOf(caller.message()), "200");
@@ -259,8 +259,8 @@
   EXPECT_TRUE(caller.endsInOrder());
 }
 
-TEST(HttpServer, ConnectionsEndAsTheirCallersWish) {
-  Served served;
+TEST(HttpServer, HonoursConnectionCloseKeepAliveAndHalfClose) {
+  TestServer served;
   for (std::string const request : {"GET / HTTP/1.1\r\nconnection: close\r\n\r\n", "GET / HTTP/1.0\r\n\r\n"}) {
     RawSocket caller = served.call();
     caller.send(request);
@@ -268,7 +268,7 @@
     EXPECT_TRUE(caller.endsInOrder());
   }
   RawSocket old = served.call();
-  for (int again = 0; again < 2; ++again) {
+  for (int reconnected = 0; reconnected < 2; ++reconnected) {
     old.send("GET / HTTP/1.0\r\nconnection: keep-alive\r\n\r\n");
     EXPECT_NE(old.message().find("Connection: keep-alive"), std::string::npos);
   }
@@ -280,8 +280,8 @@
   EXPECT_EQ(half.rest(), "");
 }
 
-TEST(HttpServer, AnswersWithoutABodyCarryNone) {
-  Served served({}, [](Request request, Responder respond) {
+TEST(HttpServer, AnswersToHeadAndWithStatus204HaveNoBody) {
+  TestServer served({}, [](Request request, Responder respond) {
     respond({request.target == "/204" ? 204 : 200,
              {{"x-bad", "a\r\nb: c"}, {"content-length", "77"}, {"connection", "close"}},
              request.target == "/204" ? "" : "body"});
@@ -293,18 +293,18 @@
   EXPECT_EQ(caller.message(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody");
 }
 
-TEST(HttpServer, TellsOfCallersThatAreGone) {
+TEST(HttpServer, ReportsCallersThatCloseResetOrHalfClose) {
   std::mutex mutex;
-  std::vector<Responder> inHand;
+  std::vector<Responder> pending;
   std::promise<std::uint64_t> taken[3];
   std::promise<std::uint64_t> gone[3];
   std::atomic<std::size_t> arrivals{0};
-  std::atomic<std::size_t> departures{0};
+  std::atomic<std::size_t> departedCallers{0};
   ServerOptions options;
-  options.gone = [&](std::uint64_t token) { gone[departures++].set_value(token); };
-  Served served(options, [&](Request request, Responder respond) {
+  options.gone = [&](std::uint64_t token) { gone[departedCallers++].set_value(token); };
+  TestServer served(options, [&](Request request, Responder respond) {
     std::unique_lock<std::mutex> const lock(mutex);
-    inHand.push_back(std::move(respond));
+    pending.push_back(std::move(respond));
     taken[arrivals++].set_value(request.token);
   });
   RawSocket closing = served.call();
@@ -323,15 +323,15 @@
   std::uint64_t const third = taken[2].get_future().get();
   half.halfClose();
   EXPECT_EQ(gone[2].get_future().get(), third);
-  for (Responder const& respond : inHand) {
+  for (Responder const& respond : pending) {
     respond({200, {}, "still"});
   }
   EXPECT_TRUE(half.rest().ends_with("still"));
 }
 
-// Guards against orders that were given up and carried out after a freeze: a process that wakes finds a request and the
-// end of its connection at the same time.
-TEST(HttpServer, ARequestWhoseCallerLeftWhileTheProcessWasFrozenIsHandedOnAsSuch) {
+// A process that resumes after a suspension reads a request and the end of its connection at the same time. Without the
+// check it would carry out an order that its caller had already given up.
+TEST(HttpServer, MarksRequestsWhoseCallerLeftDuringASuspension) {
   Network network{RunOnCallerThread{}};
   std::map<std::string, bool> callerLeft;
   ServerOptions options;
@@ -367,7 +367,7 @@
   EXPECT_TRUE(pipelined.message().ends_with("answer"));
 }
 
-TEST(HttpServer, TokensNameRequestsAmongAllServersOfANetwork) {
+TEST(HttpServer, TokensAreUniqueAmongAllServersOfANetwork) {
   std::mutex mutex;
   std::set<std::uint64_t> tokens;
   HttpServer::Handler const take = [&](Request const& request, Responder const& respond) {
@@ -375,7 +375,7 @@
     tokens.insert(request.token);
     respond({200, {}, "taken"});
   };
-  Served served({}, take);
+  TestServer served({}, take);
   std::unique_ptr<HttpServer> const other = HttpServer::listen(served.network, anyPort, {}, take, served.error);
   for (Address const& address : {served.server->address(), other->address(), served.server->address()}) {
     RawSocket caller = RawSocket::to(address);
@@ -387,18 +387,18 @@
   EXPECT_FALSE(tokens.contains(0));
 }
 
-TEST(HttpServer, ADroppedResponderClosesItsConnection) {
-  Served served({}, [](Request, Responder) {});
+TEST(HttpServer, DroppedResponderClosesTheConnection) {
+  TestServer served({}, [](Request, Responder) {});
   RawSocket caller = served.call();
   caller.send("GET / HTTP/1.1\r\n\r\n");
   EXPECT_EQ(caller.rest(), "");
 }
 
-TEST(HttpServer, AResponderMayOutliveItsServerAndNetwork) {
+TEST(HttpServer, ResponderMayOutliveItsServerAndNetwork) {
   std::promise<Responder> taken;
   Responder kept;
   {
-    Served served({}, [&](Request, Responder respond) { taken.set_value(std::move(respond)); });
+    TestServer served({}, [&](Request, Responder respond) { taken.set_value(std::move(respond)); });
     RawSocket caller = served.call();
     caller.send("GET / HTTP/1.1\r\n\r\n");
     kept = taken.get_future().get();
@@ -407,8 +407,8 @@
   kept({200, {}, "late"});
 }
 
-TEST(HttpServer, DrainServesOnAndAsksCallersToLeave) {
-  Served served;
+TEST(HttpServer, DrainAnswersRequestsAndClosesConnections) {
+  TestServer served;
   RawSocket before = served.call();
   before.send("GET /1 HTTP/1.1\r\n\r\n");
   EXPECT_EQ(before.message().find("Connection: close"), std::string::npos);
@@ -423,9 +423,9 @@
   EXPECT_TRUE(after.rest().ends_with("GET /4 "));
 }
 
-TEST(HttpServer, StopAcceptingClosesTheIdleAndFinishesWhatIsInHand) {
+TEST(HttpServer, StopAcceptingClosesIdleConnectionsAndFinishesRequests) {
   std::promise<Responder> taken;
-  Served served({}, [&](Request request, Responder respond) {
+  TestServer served({}, [&](Request request, Responder respond) {
     if (request.target == "/wait") {
       taken.set_value(std::move(respond));
     } else {
@@ -445,32 +445,33 @@
   EXPECT_TRUE(waiting.rest().ends_with("finished"));
 }
 
-// Guards against requests that a process which is told to end reads whole and never answers.
-TEST(HttpServer, AConnectionIsBusyFromTheFirstByteOfARequestToTheLastOfItsAnswer) {
-  std::promise<Responder> inHand;
-  Served served({}, [&](Request, Responder respond) { inHand.set_value(std::move(respond)); });
+// A process that shuts down waits for busy connections. A connection that is not counted while its request is being
+// read would lose that request.
+TEST(HttpServer, ConnectionIsBusyFromFirstRequestByteToLastAnswerByte) {
+  std::promise<Responder> pending;
+  TestServer served({}, [&](Request, Responder respond) { pending.set_value(std::move(respond)); });
   RawSocket idle = served.call();
   RawSocket caller = served.call();
-  std::function<bool(std::size_t)> const becomes = [&](std::size_t wanted) {
+  std::function<bool(std::size_t)> const busyCountBecomes = [&](std::size_t wanted) {
     for (int round = 0; round < 500 && served.server->busyConnections() != wanted; ++round) {
       std::this_thread::sleep_for(Ms(10));
     }
     return served.server->busyConnections() == wanted;
   };
-  EXPECT_TRUE(becomes(0));
+  EXPECT_TRUE(busyCountBecomes(0));
   caller.send("POST / HTTP/1.1\r\ncontent-length: 4\r\n\r\nbo");
-  EXPECT_TRUE(becomes(1));
+  EXPECT_TRUE(busyCountBecomes(1));
   served.server->stopAccepting();
   EXPECT_EQ(served.server->busyConnections(), 1u);
   caller.send("dy");
-  Responder const respond = inHand.get_future().get();
+  Responder const respond = pending.get_future().get();
   EXPECT_EQ(served.server->busyConnections(), 1u);
-  std::size_t const beyondTheSocketsBuffers = 30'000'000;
-  respond({200, {}, std::string(beyondTheSocketsBuffers, 'x')});
+  std::size_t const largerThanSocketBuffers = 30'000'000;
+  respond({200, {}, std::string(largerThanSocketBuffers, 'x')});
   EXPECT_FALSE(caller.head().empty());
   EXPECT_EQ(served.server->busyConnections(), 1u);
-  EXPECT_EQ(caller.exactly(beyondTheSocketsBuffers).size(), beyondTheSocketsBuffers);
-  EXPECT_TRUE(becomes(0));
+  EXPECT_EQ(caller.exactly(largerThanSocketBuffers).size(), largerThanSocketBuffers);
+  EXPECT_TRUE(busyCountBecomes(0));
   EXPECT_TRUE(idle.endsInOrder());
 }
 
@@ -487,7 +488,7 @@
         error));
     ASSERT_NE(servers.back(), nullptr) << error;
   }
-  EXPECT_EQ(HttpServer::listen(network, servers[0]->address(), {}, Served::echo(), error), nullptr);
+  EXPECT_EQ(HttpServer::listen(network, servers[0]->address(), {}, TestServer::echo(), error), nullptr);
   EXPECT_NE(error.find("cannot listen"), std::string::npos);
   for (std::size_t index : {0, 1}) {
     RawSocket caller = RawSocket::to(servers[index]->address());
@@ -501,8 +502,8 @@
   network.stop();
 }
 
-TEST(HttpServer, BoundsChangeWhileItRuns) {
-  Served served;
+TEST(HttpServer, BoundsCanChangeWhileTheServerRuns) {
+  TestServer served;
   RawSocket caller = served.call();
   std::string const post = "POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n" + std::string(101, 'b');
   caller.send(post);
@@ -521,24 +522,24 @@
   RawSocket refused = served.call();
   EXPECT_EQ(refused.rest(), "");
   served.server->setBounds({});
-  RawSocket again = served.call();
-  again.send(post);
-  EXPECT_EQ(statusOf(again.message()), "200");
+  RawSocket reconnected = served.call();
+  reconnected.send(post);
+  EXPECT_EQ(statusOf(reconnected.message()), "200");
 }
 
-TEST(HttpServer, AnAnswerLargerThanTheSocketsBuffersArrivesWhole) {
+TEST(HttpServer, AnswerLargerThanTheSocketBuffersArrivesComplete) {
   std::string const large(20'000'000, 'a');
-  Served served({}, [&](Request, Responder respond) { respond({200, {}, large}); });
+  TestServer served({}, [&](Request, Responder respond) { respond({200, {}, large}); });
   RawSocket caller = served.call();
   caller.send("GET / HTTP/1.1\r\n\r\nGET / HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(caller.message().ends_with("\r\n\r\n" + large));
   EXPECT_TRUE(caller.message().ends_with("\r\n\r\n" + large));
 }
 
-TEST(HttpServer, AnswersFromAnyThread) {
+TEST(HttpServer, HandlerMayAnswerFromAnyThread) {
   std::vector<std::future<void>> threads;
   std::mutex mutex;
-  Served served({}, [&](Request request, Responder respond) {
+  TestServer served({}, [&](Request request, Responder respond) {
     std::unique_lock<std::mutex> const lock(mutex);
     threads.push_back(std::async(std::launch::async, [respond = std::move(respond), target = request.target] {
       respond({200, {}, target});
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -43,7 +43,7 @@
 
  private:
   void serve(std::vector<std::string> const& answers, bool keepOpen) {
-    std::vector<asio::ip::tcp::socket> kept;
+    std::vector<asio::ip::tcp::socket> openSockets;
     for (std::size_t next = 0; next < answers.size();) {
       asio::ip::tcp::socket socket = acceptor_.accept();
       ++connections_;
@@ -61,7 +61,7 @@
         }
       }
       if (keepOpen) {
-        kept.push_back(std::move(socket));
+        openSockets.push_back(std::move(socket));
       }
     }
   }
@@ -73,7 +73,7 @@
   std::thread thread_;
 };
 
-TEST(Http, ManyExchangesAtOnceGetTheirOwnAnswers) {
+TEST(Http, ConcurrentExchangesReceiveTheirOwnAnswers) {
   Network serverSide;
   Network clientSide;
   std::string error;
@@ -85,8 +85,8 @@
       error);
   ASSERT_NE(server, nullptr) << error;
   HttpClient client(clientSide, {});
-  std::latch left(300);
-  std::atomic<int> right{0};
+  std::latch remaining(300);
+  std::atomic<int> correct{0};
   for (std::uint64_t number = 1; number <= 300; ++number) {
     std::string const body(number * 7, 'x');
     std::string const target = "/" + std::to_string(number);
@@ -95,18 +95,18 @@
     client.begin(
         number, server->address(), {"POST", target, {}, body, ""}, Clock::now() + std::chrono::seconds(60),
         [&, expected](Exchange const& exchange) {
-          right +=
+          correct +=
               exchange.answer && exchange.answer->body == expected && exchange.verdict == retry::Verdict::ran ? 1 : 0;
-          left.count_down();
+          remaining.count_down();
         });
   }
-  left.wait();
-  EXPECT_EQ(right, 300);
+  remaining.wait();
+  EXPECT_EQ(correct, 300);
   clientSide.stop();
   serverSide.stop();
 }
 
-TEST(Http, ARefusedConnectionDidNotRunAndABrokenAnswerMayHave) {
+TEST(Http, RefusedConnectionIsNotRunAndBrokenAnswerMayHaveRun) {
   Network network;
   HttpClient client(network, {64, 4, std::chrono::seconds(10)});
   std::uint16_t closedPort = 0;
@@ -127,7 +127,7 @@
   network.stop();
 }
 
-TEST(Http, OnlyACleanConnectionIsUsedAgain) {
+TEST(Http, ReusesOnlyCleanConnections) {
   std::string const clean = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
   std::vector<std::pair<std::string, int>> const cases{
       {clean, 1},
@@ -144,7 +144,7 @@
   }
 }
 
-TEST(Http, MalformedAndOversizedRequestsGetAnAnswerWithAVerdict) {
+TEST(Http, MalformedAndOversizedRequestsAreAnsweredWithVerdictNotRun) {
   Network network;
   std::string error;
   std::atomic<int> handled{0};
@@ -176,7 +176,7 @@
   network.stop();
 }
 
-TEST(Ring, KeepsOrderAndBoundsBetweenThreads) {
+TEST(Ring, KeepsOrderAndCapacityBetweenThreads) {
   Ring<int> ring(8);
   std::thread producer([&ring] {
     for (int number = 0; number < 5000; ++number) {
@@ -197,23 +197,23 @@
   EXPECT_TRUE(full.tryPush(3));
 }
 
-TEST(MergeWorkers, ReadsAndMergesOnItsWorkers) {
-  std::latch left(200);
-  std::atomic<int> good{0};
+TEST(MergeWorkers, ReadsResultsOnWorkersAndRejectsOtherRequestIds) {
+  std::latch remaining(200);
+  std::atomic<int> accepted{0};
   {
-    dispatch::MergeWorkers mill(2);
+    dispatch::MergeWorkers workers(2);
     for (int number = 0; number < 200; ++number) {
       std::string const id = "r" + std::to_string(number);
       std::string const body = R"({"stamp":{"shard":"a","cut":"c","request":")" + id + R"("},"records":["x","y"]})";
-      mill.read(body, {"a", "c", number % 2 == 0 ? id : "other"}, 1,
-                [&](absl::StatusOr<dispatch::ShardResult> const& part) {
-                  good += part.ok() ? 1 : 0;
-                  left.count_down();
-                });
+      workers.read(body, {"a", "c", number % 2 == 0 ? id : "other"}, 1,
+                   [&](absl::StatusOr<dispatch::ShardResult> const& part) {
+                     accepted += part.ok() ? 1 : 0;
+                     remaining.count_down();
+                   });
     }
-    left.wait();
+    remaining.wait();
   }
-  EXPECT_EQ(good, 100);
+  EXPECT_EQ(accepted, 100);
 }
 
 }  // namespace
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -12,7 +12,7 @@
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 
-TEST(Network, TimersRunInOrderOfTime) {
+TEST(Network, TimersFireInOrderOfTheirDeadlines) {
   Network network;
   std::vector<int> order;
   std::promise<void> done;
@@ -30,7 +30,7 @@
   EXPECT_GE(Clock::now() - now, Ms(60));
 }
 
-TEST(Network, APeriodRunsUntilItIsCancelledEvenByItself) {
+TEST(Network, PeriodicTimerCanCancelItself) {
   Network network;
   std::promise<void> done;
   int runs = 0;
@@ -47,16 +47,16 @@
   EXPECT_EQ(runs, 5);
 }
 
-TEST(Network, RunsOnItsOwnersThread) {
+TEST(Network, RunsOnTheThreadThatCallsRun) {
   Network network{RunOnCallerThread{}};
   std::string error;
-  std::thread::id const here = std::this_thread::get_id();
-  std::vector<bool> there;
+  std::thread::id const callerThread = std::this_thread::get_id();
+  std::vector<bool> ranOnCallerThread;
   EXPECT_FALSE(network.onThread());
   std::unique_ptr<HttpServer> const server = HttpServer::listen(
       network, {"127.0.0.1", 0}, {},
       [&](Request, Responder respond) {
-        there.push_back(std::this_thread::get_id() == here && network.onThread());
+        ranOnCallerThread.push_back(std::this_thread::get_id() == callerThread && network.onThread());
         respond({200, {}, "here"});
       },
       error);
@@ -64,23 +64,23 @@
   std::string got;
   client.begin(1, server->address(), {"GET", "/", {}, "", ""}, Clock::now() + std::chrono::seconds(30),
                [&](Exchange const& exchange) {
-                 there.push_back(std::this_thread::get_id() == here && network.onThread());
+                 ranOnCallerThread.push_back(std::this_thread::get_id() == callerThread && network.onThread());
                  got = exchange.answer ? exchange.answer->body : exchange.reason;
                  network.after(Ms(1), [&] {
-                   there.push_back(network.onThread());
+                   ranOnCallerThread.push_back(network.onThread());
                    network.stop();
                  });
                });
   network.run();
   EXPECT_EQ(got, "here");
-  EXPECT_EQ(there, (std::vector<bool>{true, true, true}));
+  EXPECT_EQ(ranOnCallerThread, (std::vector<bool>{true, true, true}));
 }
 
-TEST(Network, WorkPostedFromOtherThreadsRunsOnTheNetworksThread) {
+TEST(Network, PostedWorkRunsOnTheNetworkThread) {
   Network network;
-  std::promise<bool> on;
-  network.post([&] { on.set_value(network.onThread()); });
-  EXPECT_TRUE(on.get_future().get());
+  std::promise<bool> onNetworkThread;
+  network.post([&] { onNetworkThread.set_value(network.onThread()); });
+  EXPECT_TRUE(onNetworkThread.get_future().get());
   EXPECT_FALSE(network.onThread());
 }
 
--- a/tests/raw_socket.h
+++ b/tests/raw_socket.h
@@ -20,9 +20,10 @@
   return out.append(std::to_string(number));
 }
 
+/// A blocking TCP socket that sends and receives raw bytes. Reads time out after 20 s.
 class RawSocket {
  public:
-  explicit RawSocket(int descriptor = -1) : descriptor_(descriptor) { patience(); }
+  explicit RawSocket(int descriptor = -1) : descriptor_(descriptor) { setReceiveTimeout(); }
   RawSocket(RawSocket&& other) noexcept
       : descriptor_(std::exchange(other.descriptor_, -1)), unread_(std::move(other.unread_)) {}
   RawSocket& operator=(RawSocket&& other) noexcept {
@@ -39,6 +40,7 @@
     return out;
   }
 
+  /// Starts to connect without waiting for the result.
   static RawSocket dial(net::Address const& address) {
     RawSocket out(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
     sockaddr_in const place = placeOf(address);
@@ -65,7 +67,7 @@
     return true;
   }
 
-  /// Sends the text and the end of this side in one segment, so that whoever reads one finds the other.
+  /// Sends the text and the FIN in one segment, so that the peer reads both at the same time.
   bool sendAndHalfClose(std::string_view text) {
     bool const sent =
         ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL | MSG_MORE) == static_cast<ssize_t>(text.size());
@@ -73,6 +75,7 @@
     return sent;
   }
 
+  /// Reads up to the end of a message head. Empty if the connection ends before.
   std::string head() {
     std::size_t end = std::string::npos;
     while ((end = unread_.find("\r\n\r\n")) == std::string::npos) {
@@ -83,11 +86,12 @@
     return take(end + 4);
   }
 
+  /// Reads a head and the body that its content-length announces.
   std::string message() {
     std::string out = head();
     std::string folded = out;
     std::transform(folded.begin(), folded.end(), folded.begin(),
-                   [](unsigned char inbound) { return std::tolower(inbound); });
+                   [](unsigned char character) { return std::tolower(character); });
     std::size_t const at = folded.find("content-length: ");
     std::size_t const length = at == std::string::npos ? 0 : std::strtoul(folded.c_str() + at + 16, nullptr, 10);
     while (unread_.size() < length && fill()) {
@@ -95,26 +99,30 @@
     return out + take(std::min(length, unread_.size()));
   }
 
+  /// Reads this many bytes, or fewer if the connection ends before.
   std::string exactly(std::size_t bytes) {
     while (unread_.size() < bytes && fill(bytes - unread_.size())) {
     }
     return take(bytes);
   }
 
+  /// Reads until the connection ends.
   std::string rest() {
     while (fill()) {
     }
     return take(unread_.size());
   }
 
+  /// Discards all input. Returns whether the connection ended by FIN rather than by a reset or a timeout.
   bool endsInOrder() {
     while (fill()) {
     }
-    return last_ == 0;
+    return lastReceived_ == 0;
   }
 
   void halfClose() { ::shutdown(descriptor_, SHUT_WR); }
 
+  /// Closes the connection with RST.
   void reset() {
     linger const now{1, 0};
     ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -129,7 +137,7 @@
   }
 
  private:
-  void patience() {
+  void setReceiveTimeout() {
     timeval const most{20, 0};
     if (descriptor_ >= 0) {
       ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
@@ -138,11 +146,11 @@
 
   bool fill(std::size_t most = 4096) {
     char bytes[4096];
-    last_ = ::recv(descriptor_, bytes, std::min(most, sizeof bytes), 0);
-    if (last_ > 0) {
-      unread_.append(bytes, static_cast<std::size_t>(last_));
+    lastReceived_ = ::recv(descriptor_, bytes, std::min(most, sizeof bytes), 0);
+    if (lastReceived_ > 0) {
+      unread_.append(bytes, static_cast<std::size_t>(lastReceived_));
     }
-    return last_ > 0;
+    return lastReceived_ > 0;
   }
 
   std::string take(std::size_t bytes) {
@@ -153,9 +161,10 @@
 
   int descriptor_;
   std::string unread_;
-  ssize_t last_ = 1;
+  ssize_t lastReceived_ = 1;
 };
 
+/// A TCP listener on a free port of 127.0.0.1.
 class RawListener {
  public:
   explicit RawListener(int backlog = 64) : descriptor_(::socket(AF_INET, SOCK_STREAM, 0)) {
