--- a/libs/net/src/client.cpp
+++ b/libs/net/src/client.cpp
@@ -29,9 +29,9 @@
 void HttpClient::Impl::cancel(std::uint64_t number) {
   std::unordered_map<std::uint64_t, AttemptPtr>::iterator const found = attempts.find(number);
   if (found != attempts.end()) {
-    AttemptPtr const given = found->second;
+    AttemptPtr const attempt = found->second;
     ++callbackDeferrals;
-    abandon(given, "cancelled");
+    abandon(attempt, "cancelled");
     --callbackDeferrals;
   }
 }
--- a/libs/net/src/deadline_sweep.cpp
+++ b/libs/net/src/deadline_sweep.cpp
@@ -13,7 +13,7 @@
   }
   next_ = deadline;
   timer_ = network_.schedule(deadline, {[this, owner = owner_] {
-                                          if (std::shared_ptr<void> const living = owner.lock()) {
+                                          if (std::shared_ptr<void> const alive = owner.lock()) {
                                             fire();
                                           }
                                         },
--- a/libs/net/src/network.cpp
+++ b/libs/net/src/network.cpp
@@ -15,16 +15,16 @@
 bool Network::Impl::onThread() { return context.get_executor().running_in_this_thread(); }
 
 void Network::Impl::add(TimerId id, TimePoint when, Timer work) {
-  times.emplace(id, when);
+  timerDeadlines.emplace(id, when);
   timers.emplace(std::make_pair(when, id), std::move(work));
   arm();
 }
 
 void Network::Impl::erase(TimerId id) {
-  std::unordered_map<TimerId, TimePoint>::iterator const found = times.find(id);
-  if (found != times.end()) {
+  std::unordered_map<TimerId, TimePoint>::iterator const found = timerDeadlines.find(id);
+  if (found != timerDeadlines.end()) {
     timers.erase(std::make_pair(found->second, id));
-    times.erase(found);
+    timerDeadlines.erase(found);
   }
 }
 
@@ -50,11 +50,11 @@
     Timer& due = node.mapped();
     bool const periodic = due.period.count() > 0;
     if (!periodic) {
-      times.erase(id);
+      timerDeadlines.erase(id);
     }
     due.work();
-    std::unordered_map<TimerId, TimePoint>::iterator const found = times.find(id);
-    if (periodic && found != times.end()) {
+    std::unordered_map<TimerId, TimePoint>::iterator const found = timerDeadlines.find(id);
+    if (periodic && found != timerDeadlines.end()) {
       found->second = std::max(node.key().first + due.period, now + due.period / 2);
       timers.emplace(std::make_pair(found->second, id), std::move(due));
     }
@@ -93,9 +93,9 @@
 }
 
 Network::TimerId Network::every(std::chrono::steady_clock::duration period, std::function<void()> work) {
-  std::chrono::steady_clock::duration const shortest = std::chrono::milliseconds(1);
-  return impl_->schedule(std::chrono::steady_clock::now() + std::max(period, shortest),
-                         {std::move(work), std::max(period, shortest)});
+  std::chrono::steady_clock::duration const minPeriod = std::chrono::milliseconds(1);
+  return impl_->schedule(std::chrono::steady_clock::now() + std::max(period, minPeriod),
+                         {std::move(work), std::max(period, minPeriod)});
 }
 
 void Network::cancel(TimerId timer) {
@@ -117,11 +117,11 @@
 }
 
 void runOn(std::weak_ptr<Network::Impl> const& network, std::function<void()> work) {
-  std::shared_ptr<Network::Impl> const living = network.lock();
-  if (living != nullptr && living->onThread()) {
+  std::shared_ptr<Network::Impl> const alive = network.lock();
+  if (alive != nullptr && alive->onThread()) {
     work();
-  } else if (living != nullptr) {
-    boost::asio::post(living->context, std::move(work));
+  } else if (alive != nullptr) {
+    boost::asio::post(alive->context, std::move(work));
   }
 }
 
@@ -183,28 +183,29 @@
   static constexpr std::array<std::string_view, 10> hopByHop{
       "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te",
       "trailer",    "upgrade",    "transfer-encoding",  "content-length",      "proxy-connection"};
-  std::string listed;
+  std::string connectionValues;
   for (std::pair<std::string, std::string> const& header : headers) {
     if (boost::beast::iequals(header.first, "connection")) {
-      listed += "," + header.second;
+      connectionValues += "," + header.second;
     }
   }
-  std::vector<std::string> named;
-  for (std::size_t at = 0; at < listed.size();) {
-    std::size_t const comma = std::min(listed.find(',', at), listed.size());
-    std::string name = listed.substr(at, comma - at);
+  std::vector<std::string> listedNames;
+  for (std::size_t at = 0; at < connectionValues.size();) {
+    std::size_t const comma = std::min(connectionValues.find(',', at), connectionValues.size());
+    std::string name = connectionValues.substr(at, comma - at);
     std::erase_if(name, [](char character) { return character == ' ' || character == '\t'; });
-    named.push_back(std::move(name));
+    listedNames.push_back(std::move(name));
     at = comma + 1;
   }
   Headers out;
   for (std::pair<std::string, std::string> const& header : headers) {
-    bool const fixed = std::any_of(hopByHop.begin(), hopByHop.end(),
-                                   [&](std::string_view name) { return boost::beast::iequals(header.first, name); });
-    bool const asked = std::any_of(named.begin(), named.end(), [&](std::string const& name) {
+    bool const alwaysRemoved = std::any_of(hopByHop.begin(), hopByHop.end(), [&](std::string_view name) {
+      return boost::beast::iequals(header.first, name);
+    });
+    bool const listedByConnection = std::any_of(listedNames.begin(), listedNames.end(), [&](std::string const& name) {
       return !name.empty() && boost::beast::iequals(header.first, name);
     });
-    if (!fixed && !asked) {
+    if (!alwaysRemoved && !listedByConnection) {
       out.push_back(header);
     }
   }
--- a/libs/net/src/network.h
+++ b/libs/net/src/network.h
@@ -35,7 +35,7 @@
   std::thread thread;
   boost::asio::steady_timer timer;
   std::map<std::pair<TimePoint, TimerId>, Timer> timers;
-  std::unordered_map<TimerId, TimePoint> times;
+  std::unordered_map<TimerId, TimePoint> timerDeadlines;
   TimePoint armedFor = TimePoint::max();
   std::atomic<TimerId> lastTimer{0};
   /// Shared buffers of all connections. Used on the network's thread, within one callback at a time.
--- a/libs/net/src/peer_sender.cpp
+++ b/libs/net/src/peer_sender.cpp
@@ -29,7 +29,7 @@
   std::string from;
   std::mutex mutex;
   std::map<std::string, std::shared_ptr<std::atomic<std::size_t>>> outstanding;
-  std::uint64_t last = 0;
+  std::uint64_t lastNumber = 0;
 };
 
 PeerSender::PeerSender(Network& network, std::string const& from) : impl_(std::make_unique<Impl>(network, from)) {}
@@ -52,7 +52,7 @@
       entry = std::make_shared<std::atomic<std::size_t>>(0);
     }
     count = entry;
-    number = ++impl_->last;
+    number = ++impl_->lastNumber;
   }
   if (count->fetch_add(1) >= maxOutstanding) {
     --*count;
--- a/libs/net/src/server.cpp
+++ b/libs/net/src/server.cpp
@@ -19,9 +19,9 @@
       handler(std::move(handlerIn)),
       sweep(network, minSweepPauseMs, [this](TimePoint now) { return expire(now); }) {}
 
-boost::system::error_code HttpServer::Impl::bind(Address const& wanted) {
+boost::system::error_code HttpServer::Impl::bind(Address const& requested) {
   boost::system::error_code failure;
-  asio::ip::tcp::endpoint const endpoint(asio::ip::make_address_v4(wanted.host, failure), wanted.port);
+  asio::ip::tcp::endpoint const endpoint(asio::ip::make_address_v4(requested.host, failure), requested.port);
   if (!failure) {
     acceptor.open(asio::ip::tcp::v4(), failure);
   }
@@ -52,13 +52,14 @@
       return;
     }
     if (error) {
-      std::weak_ptr<Impl> const again = me;
-      me->network.schedule(Clock::now() + acceptRetryMs, {[again] {
-                                                            if (std::shared_ptr<Impl> const server = again.lock()) {
-                                                              server->accept();
-                                                            }
-                                                          },
-                                                          {}});
+      std::weak_ptr<Impl> const weakServer = me;
+      me->network.schedule(Clock::now() + acceptRetryMs,
+                           {[weakServer] {
+                              if (std::shared_ptr<Impl> const server = weakServer.lock()) {
+                                server->accept();
+                              }
+                            },
+                            {}});
       return;
     }
     me->accepted(std::move(socket));
--- a/libs/net/src/server_impl.h
+++ b/libs/net/src/server_impl.h
@@ -41,7 +41,7 @@
   std::weak_ptr<Impl> self;
 
   // server.cpp
-  boost::system::error_code bind(Address const& wanted);
+  boost::system::error_code bind(Address const& requested);
   void accept();
   void accepted(Socket socket);
   void closeIdle();
--- a/libs/net/src/wire.cpp
+++ b/libs/net/src/wire.cpp
@@ -118,8 +118,8 @@
 void writeRequest(std::string& out, Request const& request, std::string const& server) {
   out.reserve(out.size() + request.target.size() + encodedSize(request.headers) + request.body.size() + 128);
   out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
-  bool const named = findHeader(request.headers, "host").has_value();
-  if (!named) {
+  bool const hasHost = findHeader(request.headers, "host").has_value();
+  if (!hasHost) {
     writeHeader(out, "Host", server);
   }
   writeHeaders(out, request.headers);
--- a/libs/node/src/listeners.cpp
+++ b/libs/node/src/listeners.cpp
@@ -9,7 +9,7 @@
   for (std::string const& text : addresses) {
     std::optional<net::Address> const address = net::Address::parse(text);
     if (!address) {
-      error = "'" + text + "' is no IP number and port";
+      error = "'" + text + "' is not an IPv4 address and port";
       return false;
     }
     std::unique_ptr<net::HttpServer> server = net::HttpServer::listen(network_, *address, options, handler, error);
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -186,11 +186,11 @@
   ClientBounds shortBounds;
   shortBounds.idleMs = Ms(50);
   HttpClient shortIdleClient(network, shortBounds);
-  std::future<Exchange> again = start(shortIdleClient, 1, listener.address());
+  std::future<Exchange> reopened = start(shortIdleClient, 1, listener.address());
   RawSocket other = listener.accept();
   other.message();
   other.send("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=100\r\ncontent-length: 2\r\n\r\nok");
-  EXPECT_EQ(again.get().answer->body, "ok");
+  EXPECT_EQ(reopened.get().answer->body, "ok");
   EXPECT_EQ(other.rest(), "");
 }
 
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -268,7 +268,7 @@
     EXPECT_TRUE(caller.endsInOrder());
   }
   RawSocket old = served.call();
-  for (int reconnected = 0; reconnected < 2; ++reconnected) {
+  for (int round = 0; round < 2; ++round) {
     old.send("GET / HTTP/1.0\r\nconnection: keep-alive\r\n\r\n");
     EXPECT_NE(old.message().find("Connection: keep-alive"), std::string::npos);
   }
