--- a/libs/net/include/limeramp/net/http.h
+++ b/libs/net/include/limeramp/net/http.h
@@ -120,10 +120,16 @@
 
 /// Limits of a listener on connections and requests.
 struct ServerBounds {
+  /// Further connections are closed as soon as they are accepted.
   std::size_t maxConnections = 2000;
+  /// A request with a longer head is refused with status 431.
   std::size_t maxHeaderBytes = 16 << 10;
+  /// A request with a longer body is refused with status 413.
   std::size_t maxBodyBytes = 1 << 20;
+  /// Time from the first byte of a request to its last, body included. A slower request is refused with status 408.
   std::chrono::milliseconds headerMs{10'000};
+  /// How long a connection may stay idle, and how long the rest of an answer that the socket did not take at once may
+  /// take.
   std::chrono::milliseconds idleMs{30'000};
 };
 
@@ -142,6 +148,7 @@
   /// its side. The check costs one system call. It is needed because a process that was suspended finds a request and
   /// the end of its connection at the same time.
   std::function<bool(Request const&)> watchesCaller;
+  /// TCP_USER_TIMEOUT of the connections.
   std::chrono::milliseconds userTimeoutMs{3'000};
   /// Bind and listen at once, but accept connections only after HttpServer::open() was called. Default: false.
   bool opensLater = false;
@@ -186,12 +193,19 @@
 
 /// Limits of a client for each server.
 struct ClientBounds {
+  /// An answer with a longer body fails the call.
   std::size_t maxAnswerBytes = 4 << 20;
+  /// Beyond this number the connection that has been idle longest is closed.
   std::size_t maxIdlePerServer = 16;
+  /// How long an idle connection is kept.
   std::chrono::milliseconds idleMs{2'000};
+  /// 0: unlimited.
   std::size_t maxConnectionsPerServer = 0;
+  /// Calls that may wait for a connection. Further calls fail at once with the verdict `notRun`.
   std::size_t maxWaitingPerServer = 1024;
+  /// Time limit for establishing a connection.
   std::chrono::milliseconds connectMs{1'000};
+  /// TCP_USER_TIMEOUT of the connections.
   std::chrono::milliseconds userTimeoutMs{3'000};
 };
 
--- a/tests/stand_in_server.h
+++ b/tests/stand_in_server.h
@@ -17,29 +17,29 @@
 
 namespace limeramp {
 
-/// How a stand-in server leaves a connection once it has sent what it wants to send.
+/// What a stand-in server does with a connection after its last byte was sent.
 enum class Ending { stays, closes, resets };
 
-/// What a stand-in server does with one request. It is a function of the request, never of the time.
+/// How a stand-in server reacts to one request. It depends on the request only, not on time.
 struct Reaction {
-  /// The bytes that are sent; not all of a whole answer where the answer is cut.
+  /// The bytes sent as the answer; a prefix of it if the answer is truncated.
   std::string bytes;
   Ending ending = Ending::stays;
-  /// Sent before the answer to the next request on this connection: a surplus answer that comes late.
+  /// A surplus answer that is sent before the answer to the next request on this connection.
   std::string beforeNext;
-  /// Whether the request runs. One that the server declines is read and not run.
+  /// Whether the request runs. A declined request is read but not run.
   bool runs = true;
-  /// Whether the answer goes out as soon as the head is read.
+  /// Whether the answer is sent as soon as the head of the request was read.
   bool answersAtHead = false;
-  /// Whether the caller must never use this connection again.
+  /// Whether the caller must not reuse this connection.
   bool spoils = false;
-  /// The connection is reset after so many bytes of the request, and the request is never read whole.
+  /// The connection is reset after this many bytes of the request, before the request is complete.
   std::optional<std::size_t> resetsAt;
-  /// Called when the request was read whole.
+  /// Called when the complete request was read.
   std::function<void()> whenRead;
 };
 
-/// One request as a stand-in server sees it.
+/// One request as a stand-in server received it.
 struct SeenRequest {
   std::string target;
   std::string head;
@@ -54,13 +54,13 @@
   }
 };
 
-/// A server made of raw sockets on the loopback that answers as its script says, byte by byte. One thread serves all
-/// of its connections.
+/// A server on the loopback that sends exactly the bytes that its script returns. One thread serves all its
+/// connections.
 class StandInServer {
  public:
   using Script = std::function<Reaction(SeenRequest const&)>;
 
-  /// `idHeader` names the header that marks a request.
+  /// @param idHeader name of the header that holds the id of a request
   StandInServer(std::string idHeader, Script script) : idHeader_(std::move(idHeader)), script_(std::move(script)) {
     if (::pipe2(wake_, O_CLOEXEC) != 0) {
       std::abort();
@@ -85,11 +85,11 @@
 
   net::Address address() const { return listener_.address(); }
 
-  /// How often each marked request was read whole, whether it ran or not.
+  /// How often each request was read completely, whether it ran or not, by id.
   std::map<std::string, int> read() const { return copyOf(read_); }
-  /// How often each marked request ran.
+  /// How often each request ran, by id.
   std::map<std::string, int> ran() const { return copyOf(ran_); }
-  /// Requests that came on a connection that was not to be used again.
+  /// Number of requests received on a connection that the caller must not reuse.
   std::size_t onSpoiltConnections() const { return onSpoilt_; }
   std::size_t connections() const { return connections_; }
 
