--- a/programs/limerampctl.cpp
+++ b/programs/limerampctl.cpp
@@ -53,37 +53,39 @@
   std::string node;
 };
 
+/// Asks the nodes in turn until one answers or may have carried out the request.
 Outcome ask(std::vector<net::Address> const& nodes, net::Request const& request, Ms waitMs);
 
-std::optional<std::string> newestOf(std::vector<net::Address> const& nodes) {
-  std::optional<std::string> best;
+/// The gateway among the nodes that holds the newest configuration, if any does.
+std::optional<std::string> findNewestHolder(std::vector<net::Address> const& nodes) {
+  std::optional<std::string> newestHolder;
   config::Version newest;
   for (net::Address const& node : nodes) {
     Outcome const outcome = ask({node}, {"GET", "/limeramp/status", {}, "", ""}, Ms(2000));
     absl::StatusOr<picojson::value> const body =
         outcome.exchange.answer ? config::parseJson(outcome.exchange.answer->body, {4u << 20, 24, 400'000})
                                 : absl::UnavailableError("no answer");
-    bool const reads = body.ok() && body->is<picojson::object>() && body->get("role").to_str() == "gateway";
+    bool const isGateway = body.ok() && body->is<picojson::object>() && body->get("role").to_str() == "gateway";
     std::optional<config::Version> const state =
-        reads ? config::Version::parse(body->get("state").to_str()) : std::nullopt;
+        isGateway ? config::Version::parse(body->get("state").to_str()) : std::nullopt;
     std::cerr << "limerampctl: " << node.text() << (state ? " holds " + state->text() : " gives no state") << '\n';
     if (state && *state > newest) {
       newest = *state;
-      best = node.text();
+      newestHolder = node.text();
     }
   }
-  return best;
+  return newestHolder;
 }
 
 Outcome ask(std::vector<net::Address> const& nodes, net::Request const& request, Ms waitMs) {
   net::Network network;
   net::HttpClient client(network, {});
   Outcome outcome;
-  std::uint64_t number = 0;
+  std::uint64_t requestId = 0;
   for (net::Address const& node : nodes) {
     std::promise<net::Exchange> promise;
     std::future<net::Exchange> future = promise.get_future();
-    client.begin(++number, node, request, Clock::now() + waitMs,
+    client.begin(++requestId, node, request, Clock::now() + waitMs,
                  [&promise](net::Exchange exchange) { promise.set_value(std::move(exchange)); });
     outcome = {future.get(), node.text()};
     if (outcome.exchange.answer || outcome.exchange.verdict != retry::Verdict::notRun) {
@@ -109,14 +111,15 @@
   return true;
 }
 
+/// Prints the outcome and returns the exit code.
 int report(Outcome const& outcome, std::string const& verb, std::string const& change) {
   if (!outcome.exchange.answer) {
-    bool const certain = outcome.exchange.verdict == retry::Verdict::notRun;
+    bool const knownNotRun = outcome.exchange.verdict == retry::Verdict::notRun;
     std::cerr << "limerampctl: " << outcome.node << ": " << outcome.exchange.reason << '\n';
     if (verb == "put" || verb == "patch" || verb == "forget") {
       std::cerr << "limerampctl: change " << change
-                << (certain ? " was not carried out" : " may have been taken; ask again with --change") << '\n';
-      return certain ? Exit::notRun : Exit::unknown;
+                << (knownNotRun ? " was not carried out" : " may have been taken; ask again with --change") << '\n';
+      return knownNotRun ? Exit::notRun : Exit::unknown;
     }
     return Exit::problem;
   }
@@ -179,15 +182,15 @@
     }
     std::string const verb = flags.count("verb") > 0 ? flags["verb"].as<std::string>() : "";
     long const waitMs = flags["wait-ms"].as<long>();
-    std::vector<std::string> const rest =
+    std::vector<std::string> const arguments =
         flags.count("rest") > 0 ? flags["rest"].as<std::vector<std::string>>() : std::vector<std::string>{};
-    bool const writes = verb == "put" || verb == "patch";
-    bool const sends = writes || verb == "forget";
-    bool const forcedGroups = verb == "force-new-group";
-    bool const counted = forcedGroups       ? rest.size() == 1 && net::Address::parse(rest.front())
-                         : verb == "forget" ? !rest.empty()
-                                            : rest.size() == (writes ? 1u : 0u);
-    if (nodes.empty() || !flags.unmatched().empty() || waitMs <= 0 || waitMs > 60'000 || !counted ||
+    bool const sendsDocument = verb == "put" || verb == "patch";
+    bool const carriesChangeId = sendsDocument || verb == "forget";
+    bool const forcesNewGroup = verb == "force-new-group";
+    bool const argumentsFit = forcesNewGroup     ? arguments.size() == 1 && net::Address::parse(arguments.front())
+                              : verb == "forget" ? !arguments.empty()
+                                                 : arguments.size() == (sendsDocument ? 1u : 0u);
+    if (nodes.empty() || !flags.unmatched().empty() || waitMs <= 0 || waitMs > 60'000 || !argumentsFit ||
         (verb == "patch" && flags.count("base") == 0)) {
       std::cerr << "limerampctl: " << (nodes.empty() ? "--nodes is needed" : "wrong usage")
                 << "; see limerampctl --help\n";
@@ -195,12 +198,12 @@
     }
     net::Request request;
     std::string change;
-    if ((verb == "forget" || forcedGroups) && flags.count("yes") == 0) {
-      std::cerr << (forcedGroups ? forceNewGroupWarning : removeNodesWarning);
+    if ((verb == "forget" || forcesNewGroup) && flags.count("yes") == 0) {
+      std::cerr << (forcesNewGroup ? forceNewGroupWarning : removeNodesWarning);
       return Exit::usage;
     }
-    if (forcedGroups) {
-      std::optional<std::string> const from = newestOf(nodes);
+    if (forcesNewGroup) {
+      std::optional<std::string> const from = findNewestHolder(nodes);
       if (!from) {
         std::cerr << "limerampctl: none of the nodes holds a configuration\n";
         return Exit::notRun;
@@ -210,17 +213,17 @@
                  {{"content-type", "application/json"}},
                  "{\"from\":" + json(*from) + "}",
                  ""};
-      return report(ask({*net::Address::parse(rest.front())}, request, Ms(8000)), verb, "");
+      return report(ask({*net::Address::parse(arguments.front())}, request, Ms(8000)), verb, "");
     }
-    if (writes && !readFile(rest.front(), request.body)) {
-      std::cerr << "limerampctl: " << rest.front() << " cannot be read\n";
+    if (sendsDocument && !readFile(arguments.front(), request.body)) {
+      std::cerr << "limerampctl: " << arguments.front() << " cannot be read\n";
       return Exit::usage;
     }
-    for (std::string const& node : verb == "forget" ? rest : std::vector<std::string>{}) {
+    for (std::string const& node : verb == "forget" ? arguments : std::vector<std::string>{}) {
       request.body += (request.body.empty() ? "{\"nodes\":[" : ",") + json(node);
     }
     request.body += verb == "forget" ? "]}" : "";
-    if (sends) {
+    if (carriesChangeId) {
       std::random_device source;
       char generated[24];
       std::snprintf(generated, sizeof generated, "%08x%08x", source(), source());
@@ -246,9 +249,9 @@
       std::cerr << "limerampctl: '" << verb << "' is not a verb; see limerampctl --help\n";
       return Exit::usage;
     }
-    return report(ask(nodes, request, Ms(waitMs + (sends ? 1000 : 0))), verb, change);
-  } catch (cxxopts::exceptions::exception const& wrong) {
-    std::cerr << "limerampctl: " << wrong.what() << '\n';
+    return report(ask(nodes, request, Ms(waitMs + (carriesChangeId ? 1000 : 0))), verb, change);
+  } catch (cxxopts::exceptions::exception const& error) {
+    std::cerr << "limerampctl: " << error.what() << '\n';
     return Exit::usage;
   }
 }
--- a/programs/program.h
+++ b/programs/program.h
@@ -14,12 +14,12 @@
 
 namespace limeramp::programs {
 
-/// Starts a service with its settings; returns nothing, with the reason in `error`, if it cannot start.
+/// Starts a service with its settings; on failure returns nullptr and puts the reason into `error`.
 template <typename Service>
 using Start = std::function<std::unique_ptr<Service>(config::Settings const& settings, std::string& error)>;
 
-/// Runs a service until a signal ends it: SIGTERM and SIGINT drain it, SIGHUP makes it read its settings again.
-/// @param file where the settings came from; the service follows it while it runs
+/// Runs a service until SIGTERM or SIGINT drains it. SIGHUP reloads its settings.
+/// @param file the source of the settings; the service watches it for changes while it runs
 /// @return the exit code of the process
 template <typename Service>
 int serve(std::string const& program, config::Settings const& settings, config::SettingsFile file,
@@ -29,12 +29,12 @@
                                                      {"warning", logging::Level::warning},
                                                      {"error", logging::Level::error}};
   logging::open(program, settings.node, levels.at(settings.logLevel));
-  sigset_t awaited;
-  sigemptyset(&awaited);
-  for (int const number : {SIGTERM, SIGINT, SIGHUP}) {
-    sigaddset(&awaited, number);
+  sigset_t handledSignals;
+  sigemptyset(&handledSignals);
+  for (int const signalNumber : {SIGTERM, SIGINT, SIGHUP}) {
+    sigaddset(&handledSignals, signalNumber);
   }
-  pthread_sigmask(SIG_BLOCK, &awaited, nullptr);
+  pthread_sigmask(SIG_BLOCK, &handledSignals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
   std::string error;
   std::unique_ptr<Service> const service = start(settings, error);
@@ -44,20 +44,22 @@
   }
   service->follow(std::move(file));
   logging::raise(logging::Event::processStarted, {{"zone", settings.zone}});
-  int number = 0;
+  int signalNumber = 0;
   for (;;) {
-    sigwait(&awaited, &number);
-    if (number != SIGHUP) {
+    sigwait(&handledSignals, &signalNumber);
+    if (signalNumber != SIGHUP) {
       break;
     }
     service->reload();
   }
-  logging::raise(logging::Event::processStopping, {{"signal", std::to_string(number)}});
+  logging::raise(logging::Event::processStopping, {{"signal", std::to_string(signalNumber)}});
   service->drain();
   return 0;
 }
 
-/// Reads the settings from flags and the file that they name, and serves with them.
+/// Reads the settings from the flags and the file that they name, and runs the service.
+/// @return the exit code of the process: 0 after printing what a flag asked for, 2 for wrong flags or settings, else
+/// that of serve()
 template <typename Service>
 int run(std::string const& program, std::string const& purpose, config::SettingsNeeds const& needs, int argc,
         char const* const* argv) {
@@ -73,12 +75,12 @@
   Start<Service> const start = [](config::Settings const& settings, std::string& error) {
     return Service::start(settings, error);
   };
-  config::FlagSettings const& given = std::get<config::FlagSettings>(outcome);
-  std::vector<std::string> const words(argv, argv + argc);
-  config::SettingsReader const reader = [program, purpose, needs, words] {
-    return config::readAgain(program, purpose, needs, words);
+  config::FlagSettings const& flagSettings = std::get<config::FlagSettings>(outcome);
+  std::vector<std::string> const arguments(argv, argv + argc);
+  config::SettingsReader const reader = [program, purpose, needs, arguments] {
+    return config::readAgain(program, purpose, needs, arguments);
   };
-  return serve<Service>(program, given.settings, config::SettingsFile(given.path, reader), start);
+  return serve<Service>(program, flagSettings.settings, config::SettingsFile(flagSettings.path, reader), start);
 }
 
 }  // namespace limeramp::programs
--- a/programs/trace.cpp
+++ b/programs/trace.cpp
@@ -29,6 +29,7 @@
 2 wrong usage.
 )";
 
+/// What the status pages of one node have shown so far.
 struct NodeView {
   std::string node;
   std::string role;
@@ -44,6 +45,7 @@
   bool pending = false;
 };
 
+/// The nodes that are watched and the version that is followed; `mutex` guards every field.
 struct Watch {
   std::mutex mutex;
   std::condition_variable changed;
@@ -58,6 +60,7 @@
   return body.contains(key) && body.get(key).is<std::string>() ? body.get(key).get<std::string>() : "";
 }
 
+/// Records a status page and adds the nodes that it names. The caller holds the mutex.
 void readStatus(Watch& watch, std::string const& address, picojson::value const& body) {
   Clock::time_point const now = Clock::now();
   NodeView& node = watch.nodes[address];
@@ -87,13 +90,13 @@
       continue;
     }
     for (picojson::value const& peer : body.get(list).get<picojson::array>()) {
-      std::string const other = textOf(peer, "address");
-      if (net::Address::parse(other) && watch.nodes.size() < 2000 && !watch.nodes.contains(other)) {
+      std::string const peerAddress = textOf(peer, "address");
+      if (net::Address::parse(peerAddress) && watch.nodes.size() < 2000 && !watch.nodes.contains(peerAddress)) {
         NodeView discovered;
         discovered.node = textOf(peer, "node");
         discovered.role = textOf(peer, "role");
         discovered.zone = textOf(peer, "zone");
-        watch.nodes.emplace(other, discovered);
+        watch.nodes.emplace(peerAddress, discovered);
       }
     }
   }
@@ -143,7 +146,7 @@
     net::Network network;
     net::HttpClient client(network, {4 << 20, 2, Ms(5000)});
     Clock::time_point const start = Clock::now();
-    std::uint64_t number = 0;
+    std::uint64_t requestId = 0;
     std::unique_lock<std::mutex> lock(watch.mutex);
     bool done = false;
     for (Clock::time_point round = start; !done && round < start + Ms(waitMs); round += Ms(everyMs)) {
@@ -156,9 +159,9 @@
       }
       for (std::string const& address : due) {
         net::Request request{"GET", "/limeramp/status", {}, "", ""};
-        client.begin(++number, *net::Address::parse(address), request, Clock::now() + Ms(1000),
+        client.begin(++requestId, *net::Address::parse(address), request, Clock::now() + Ms(1000),
                      [&watch, address](net::Exchange const& exchange) {
-                       std::unique_lock<std::mutex> const inner(watch.mutex);
+                       std::unique_lock<std::mutex> const guard(watch.mutex);
                        watch.nodes[address].pending = false;
                        if (exchange.answer && exchange.answer->status == 200) {
                          absl::StatusOr<picojson::value> const body =
@@ -176,11 +179,11 @@
           watch.want = watch.newest;
         }
       }
-      bool const all =
+      bool const inForceEverywhere =
           std::all_of(watch.nodes.begin(), watch.nodes.end(), [](std::pair<std::string const, NodeView> const& entry) {
             return entry.second.inForce.has_value() || (entry.second.answered && !entry.second.replica);
           });
-      done = watch.want && all && Clock::now() - start > Ms(1000);
+      done = watch.want && inForceEverywhere && Clock::now() - start > Ms(1000);
     }
     lock.unlock();
     network.stop();
@@ -188,24 +191,25 @@
       std::cout << "no newer version was seen\n";
       return 1;
     }
-    std::optional<Clock::time_point> first;
+    std::optional<Clock::time_point> firstSeen;
     for (std::pair<std::string const, NodeView> const& entry : watch.nodes) {
-      if (entry.second.stored && (!first || *entry.second.stored < *first)) {
-        first = entry.second.stored;
+      if (entry.second.stored && (!firstSeen || *entry.second.stored < *firstSeen)) {
+        firstSeen = entry.second.stored;
       }
     }
     std::cout << "version " << watch.want->text() << ", times in ms after it was first seen, looked at every "
               << everyMs << " ms\n";
     std::printf("%-22s %-14s %-14s %-6s %8s %9s  %s\n", "address", "node", "role", "zone", "stored", "in force",
                 "state");
-    long worst = 0;
+    long maxDelayMs = 0;
     std::size_t lagging = 0;
     std::size_t unresponsive = 0;
     for (std::pair<std::string const, NodeView> const& entry : watch.nodes) {
       NodeView const& node = entry.second;
-      std::function<std::string(std::optional<Clock::time_point> const&)> const since =
-          [&](std::optional<Clock::time_point> const& at) {
-            return at ? std::to_string(std::chrono::duration_cast<Ms>(*at - *first).count()) : std::string("-");
+      std::function<std::string(std::optional<Clock::time_point> const&)> const delayText =
+          [&](std::optional<Clock::time_point> const& moment) {
+            return moment ? std::to_string(std::chrono::duration_cast<Ms>(*moment - *firstSeen).count())
+                          : std::string("-");
           };
       bool const lags = node.answered && node.replica && !node.inForce;
       std::string const state = !node.answered  ? "not heard"
@@ -215,16 +219,16 @@
       unresponsive += node.answered ? 0 : 1;
       lagging += lags ? 1 : 0;
       if (node.inForce) {
-        worst = std::max<long>(worst, std::chrono::duration_cast<Ms>(*node.inForce - *first).count());
+        maxDelayMs = std::max<long>(maxDelayMs, std::chrono::duration_cast<Ms>(*node.inForce - *firstSeen).count());
       }
       std::printf("%-22s %-14s %-14s %-6s %8s %9s  %s\n", entry.first.c_str(), node.node.c_str(), node.role.c_str(),
-                  node.zone.c_str(), since(node.stored).c_str(), since(node.inForce).c_str(), state.c_str());
+                  node.zone.c_str(), delayText(node.stored).c_str(), delayText(node.inForce).c_str(), state.c_str());
     }
     std::printf("nodes %zu, lagging %zu, not heard %zu, last in force after %ld ms\n", watch.nodes.size(), lagging,
-                unresponsive, worst);
+                unresponsive, maxDelayMs);
     return lagging + unresponsive == 0 ? 0 : 1;
-  } catch (cxxopts::exceptions::exception const& wrong) {
-    std::cerr << "limeramp-trace: " << wrong.what() << '\n';
+  } catch (cxxopts::exceptions::exception const& error) {
+    std::cerr << "limeramp-trace: " << error.what() << '\n';
     return 2;
   }
 }
