--- a/programs/controller.cpp
+++ b/programs/controller.cpp
@@ -3,6 +3,6 @@
 
 int main(int argc, char** argv) {
   return limeramp::programs::run<limeramp::control::ControlServer>(
-      "limeramp-controller", "the control of limeramp: keeps configurations on this machine's disk", {false, true},
+      "limeramp-controller", "the controller of limeramp: keeps configurations on this machine's disk", {false, true},
       argc, argv);
 }
--- a/programs/gateway.cpp
+++ b/programs/gateway.cpp
@@ -3,5 +3,5 @@
 
 int main(int argc, char** argv) {
   return limeramp::programs::run<limeramp::gateway::GatewayServer>(
-      "limeramp-gateway", "the front of limeramp: searches, forwards, operators", {true, false}, argc, argv);
+      "limeramp-gateway", "the gateway of limeramp: searches, forwards, operators", {true, false}, argc, argv);
 }
