--- a/libs/config/include/limeramp/config/configuration.h
+++ b/libs/config/include/limeramp/config/configuration.h
@@ -16,34 +16,34 @@
 
 /// The operators' configuration as a node uses it: services, searches over shards, routes, cells and limits.
 ///
-/// A Configuration is made by a ConfigSchema's check, is complete and consistent, and is never changed afterwards. Each
-/// request pins the Snapshot that was in force when it arrived.
+/// ConfigSchema::check makes a Configuration. It is complete and consistent, and never changes afterwards. Each request
+/// pins the Snapshot that is in force when it arrives.
 namespace limeramp::config {
 
-/// Orders configurations: by the epoch whose primary took them, then by their sequence in it.
+/// Orders configurations: by the epoch whose primary accepted them, then by their sequence within it.
 struct Version {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
   std::strong_ordering operator<=>(Version const&) const = default;
-  /// "EPOCH.SEQUENCE", as headers and pages show it.
+  /// "EPOCH.SEQUENCE", as in HTTP headers and on operator pages.
   std::string text() const;
-  /// Reads what text() wrote; nothing if it is malformed.
+  /// Parses the output of text(); nothing if `text` is malformed.
   static std::optional<Version> parse(std::string const& text);
 };
 
 /// A group of servers that can answer the same requests.
 struct Service {
-  /// Requests a second that one server bears, where the list of servers does not say.
+  /// Requests per second that one server can take, if the list of servers does not say.
   double capacity = 50;
-  /// How long a server is in slow start, where the list does not say; 0 for none.
+  /// Length of a server's slow start, if the list of servers does not say; 0 for none.
   std::chrono::milliseconds slowStartMs{0};
-  /// Connections that all gateways together may keep to one server; 0 for no bound.
+  /// Connections that all gateways together may keep to one server; 0: unbounded.
   std::size_t maxConnections = 0;
-  /// Requests a second that a server bears which is warming up; 0: it is used only where no other is left.
+  /// Requests per second that a server can take while it warms up; 0: it is used only if no other server is left.
   double warmupPerSecond = 0;
 };
 
-/// One shard of an index: the service that has it, and the partition that its answers must name.
+/// One shard of an index: the service that serves it, and the partition that its answers must name.
 struct Shard {
   std::string service;
   std::string partition;
@@ -56,21 +56,21 @@
   std::string tenant;
   std::string prefix;
   std::vector<Shard> shards;
-  /// Records of the merged answer: the greatest ones, compared byte by byte.
+  /// Number of records in the merged answer: the greatest ones, compared byte by byte.
   std::size_t resultSize = 10;
-  /// With fewer shards in, the answer is a failure.
+  /// With results of fewer shards the request fails.
   std::size_t minimumShards = 1;
-  /// Servers that one request may reach for each shard.
+  /// Upper bound of the servers that one request may be sent to for each shard.
   std::size_t maxAttempts = 2;
-  /// How long a caller is served who names no shorter time.
+  /// Deadline of a request, unless its caller names a shorter one.
   std::chrono::milliseconds deadlineMs{500};
-  /// When an answer should be there; 0: only the deadline counts.
+  /// Time within which the answer should be ready; 0: only the deadline counts.
   std::chrono::milliseconds latencyTargetMs{0};
-  /// Lower numbers go first; under overload the greatest numbers are refused first.
+  /// Lower numbers are served first; under overload the highest numbers are refused first.
   std::size_t priority = 0;
 };
 
-/// One part of a split route.
+/// One service of a split route and its share of the requests, relative to the sum of the weights.
 struct WeightedService {
   std::string service;
   double weight = 1;
@@ -84,14 +84,14 @@
   std::string prefix;
   std::vector<WeightedService> choices;
   std::size_t maxAttempts = 1;
-  /// Whether a request may be sent again although it may have run.
+  /// Whether a request may be retried although an earlier attempt may have been executed.
   bool idempotent = false;
   std::chrono::milliseconds deadlineMs{2000};
   std::chrono::milliseconds latencyTargetMs{0};
   std::size_t priority = 0;
 };
 
-/// Bounds on what callers may send, and on how long they may take for it.
+/// Bounds on the size of callers' requests and on the time that callers may take to send them.
 struct CallerLimits {
   std::size_t maxHeaderBytes = 16 << 10;
   std::size_t maxBodyBytes = 1 << 20;
@@ -99,16 +99,16 @@
   std::chrono::milliseconds idleMs{30'000};
 };
 
-/// A group of nodes that own tenants: their requests are served there and forwarded from elsewhere.
+/// A group of nodes that owns tenants. Requests of these tenants are served there; other nodes forward them.
 struct Cell {
   std::string name;
   std::set<std::string> tenants;
   std::set<std::string> nodes;
 };
 
-/// All of them together.
+/// A whole configuration.
 struct Configuration {
-  /// The number that the document itself names; 0 if it names none.
+  /// The revision number that the document names; 0 if it names none.
   std::uint64_t revision = 0;
   CallerLimits limits;
   std::map<std::string, Service> services;
@@ -117,40 +117,40 @@
   std::vector<Cell> cells;
   std::set<std::string> evacuatedZones;
 
-  /// The cell that owns the tenant; null if any node serves it.
+  /// The cell that owns the tenant; null if no cell owns it, so that any node serves it.
   Cell const* cellOf(std::string const& tenant) const;
 };
 
-/// What a request is for: nothing that is configured, a search, or a route.
+/// The entry that a request matches: none, a search, or a route.
 using Target = std::variant<std::monostate, Search const*, Route const*>;
 /// Finds the entry of the host and tenant with the longest matching prefix. The result points into `configuration`.
 Target findTarget(Configuration const& configuration, std::string_view host, std::string const& tenant,
                   std::string_view path);
-/// Picks the service of a split route by a hash of the request's id, so that repetitions of a request agree.
-std::string const& chooseService(Route const& route, std::string_view request);
+/// Picks the service of a split route by a hash of the request's id, so that retries of a request get the same service.
+std::string const& chooseService(Route const& route, std::string_view requestId);
 
-/// What is wrong with a document, by JSON pointer.
+/// One error in a document; `path` is a JSON pointer.
 struct Problem {
   std::string path;
   std::string reason;
 };
 
-/// Exactly one of the two: a configuration, or problems.
+/// Holds either a configuration or at least one problem, never both.
 struct CheckedConfiguration {
   std::optional<Configuration> configuration;
   std::vector<Problem> problems;
 };
 
-/// Checks a document of limeramp's own schema.
+/// Checks a document in limeramp's own schema.
 CheckedConfiguration checkConfiguration(picojson::value const& document);
 
-/// The language in which operators write configurations. Controllers check changes with it, gateways read by it.
+/// The format in which operators write configurations. Controllers check changes with it, gateways parse with it.
 struct ConfigSchema {
-  /// Reads a whole document.
+  /// Parses and checks a whole document.
   std::function<CheckedConfiguration(std::string const& document)> check;
-  /// Applies a small change to a document; the result is checked afterwards.
+  /// Applies a patch to a document. Does not check the result: that is up to `check`.
   std::function<absl::StatusOr<std::string>(std::string const& document, std::string const& patch)> merge;
-  /// Whether documents are kept byte for byte; otherwise in a canonical form.
+  /// Whether documents are stored byte for byte; otherwise in a canonical form.
   bool verbatim = false;
 };
 /// limeramp's own schema, with JSON merge patches (RFC 7386) as changes.
@@ -163,7 +163,7 @@
   Configuration configuration;
 };
 
-/// Shared by all requests that are pinned to it.
+/// Shared by all requests that pin the snapshot.
 using SnapshotPtr = std::shared_ptr<Snapshot const>;
 
 }  // namespace limeramp::config
--- a/libs/config/include/limeramp/config/flags.h
+++ b/libs/config/include/limeramp/config/flags.h
@@ -6,33 +6,33 @@
 #include <variant>
 #include <vector>
 
-/// The command line of a program, and the settings file that it names.
+/// Reads the command line of a program and the settings file that it names.
 namespace limeramp::config {
 
-/// The settings that flags and the settings file give together; a flag goes before the file.
+/// The settings from the flags and the settings file; a flag overrides the file.
 struct FlagSettings {
   Settings settings;
-  /// The settings file; empty if no flag names one.
+  /// Path of the settings file; empty if no flag names one.
   std::string path;
 };
-/// What a flag asked to be printed.
+/// The text that --help or --version prints.
 struct FlagText {
   std::string text;
 };
-/// Why the flags or the file give no settings.
+/// The reason for which the flags or the settings file are refused.
 struct FlagProblem {
   std::string text;
 };
 
-/// What a command line asks for.
+/// The result of reading a command line.
 using FlagOutcome = std::variant<FlagSettings, FlagText, FlagProblem>;
 
-/// Reads a command line.
+/// Reads a command line and the settings file that it names.
 FlagOutcome settingsFromFlags(std::string const& program, std::string const& purpose, SettingsNeeds const& needs,
                               int argc, char const* const* argv);
 
-/// Reads the file again that the same command line named, while the process runs.
+/// Reads the settings again from the same command line, and so from the same file, while the process runs.
 CheckedSettings readAgain(std::string const& program, std::string const& purpose, SettingsNeeds const& needs,
-                          std::vector<std::string> const& words);
+                          std::vector<std::string> const& commandLine);
 
 }  // namespace limeramp::config
--- a/libs/config/include/limeramp/config/settings_file.h
+++ b/libs/config/include/limeramp/config/settings_file.h
@@ -9,27 +9,27 @@
 
 namespace limeramp::config {
 
-/// Reads and checks settings from wherever the process got them at its start.
+/// Reads and checks the settings from the source that the process used at its start.
 using SettingsReader = std::function<CheckedSettings()>;
 
-/// Tells when a settings file has changed since it was last read.
+/// Detects changes of a settings file since it was last read.
 ///
-/// A change is seen by the file's number, size and time of writing, so that looking costs one system call and no read.
-/// A file that is replaced by one with all of these alike is not noticed; whoever knows better calls `read`.
-/// Not safe for use by several threads at once.
+/// Compares the file's device, inode, size and modification time, so that a check costs one system call and no read. A
+/// file replaced by one for which all of these are equal goes unnoticed; a caller that knows of a change calls `read`.
+/// Not thread-safe.
 class SettingsFile {
  public:
-  /// @param path the file to look at; empty if the settings came from no file, and then nothing ever changes
+  /// @param path the file to check; empty if the settings came from no file, so that no change is ever found
   SettingsFile(std::string const& path, SettingsReader reader);
   ~SettingsFile();
   SettingsFile(SettingsFile&&) noexcept;
   SettingsFile& operator=(SettingsFile&&) noexcept;
 
-  /// Reads the file whether or not it seems changed.
+  /// Reads the file whether or not a change is detected.
   CheckedSettings read();
 
-  /// Reads the file if it differs from the one last read, if that one was not usable, and the first time; nothing
-  /// otherwise, also while there is no file.
+  /// Reads the file on the first call, if it changed since the last read, or if that read gave no valid settings.
+  /// Returns nothing otherwise, and while the file does not exist.
   std::optional<CheckedSettings> readIfChanged();
 
  private:
--- a/libs/config/include/limeramp/config/settings_update.h
+++ b/libs/config/include/limeramp/config/settings_update.h
@@ -7,17 +7,17 @@
 
 namespace limeramp::config {
 
-/// What a process does with settings that were read while it runs.
+/// The effect of settings that were read while the process runs.
 struct SettingsUpdate {
-  /// The settings in force from now on: the former ones with every setting that can change in place.
+  /// The settings in force from now on: the former ones with the new values of all settings that can change in place.
   Settings settings;
   /// Names of the settings that changed in place.
   std::vector<std::string> applied;
-  /// Names of the settings that differ but hold only from the next start; `settings` keeps their former values.
+  /// Names of the settings that differ but take effect only at the next start; `settings` keeps their former values.
   std::vector<std::string> waitingForRestart;
 };
 
-/// Compares settings that were read anew with those in force. Both must have passed their checks.
-SettingsUpdate updateSettings(Settings const& inForce, Settings const& readAnew);
+/// Compares newly read settings with those in force. Both must have passed checkSettings.
+SettingsUpdate updateSettings(Settings const& inForce, Settings const& newSettings);
 
 }  // namespace limeramp::config
--- a/libs/config/src/configuration.cpp
+++ b/libs/config/src/configuration.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-void readChoices(Reader& reader, Configuration const& configuration, Route& route) {
+void readWeightedServices(Reader& reader, Configuration const& configuration, Route& route) {
   std::string const service = reader.text("service", std::string());
   if (!service.empty()) {
     checkService(reader, configuration, service);
@@ -50,7 +50,8 @@
   }
 }
 
-bool covers(std::string const& prefix, std::string_view path) {
+/// Whether `prefix` matches `path` up to the end of a path segment.
+bool matchesPrefix(std::string const& prefix, std::string_view path) {
   if (!path.starts_with(prefix)) {
     return false;
   }
@@ -58,17 +59,18 @@
 }
 
 template <typename Entry>
-bool applies(Entry const& entry, std::string_view host, std::string const& tenant, std::string_view path) {
-  return (entry.host.empty() || entry.host == host) && entry.tenant == tenant && covers(entry.prefix, path);
+bool matchesRequest(Entry const& entry, std::string_view host, std::string const& tenant, std::string_view path) {
+  return (entry.host.empty() || entry.host == host) && entry.tenant == tenant && matchesPrefix(entry.prefix, path);
 }
 
-void readPlace(Reader& reader, std::set<std::tuple<std::string, std::string, std::string>>& places, std::string& host,
-               std::string& tenant, std::string& prefix) {
+/// Reads the host, tenant and prefix of an entry. No two entries may have all three in common.
+void readMatch(Reader& reader, std::set<std::tuple<std::string, std::string, std::string>>& takenMatches,
+               std::string& host, std::string& tenant, std::string& prefix) {
   host = reader.text("host", std::string());
   tenant = reader.text("tenant", std::nullopt);
   prefix = reader.text("prefix", std::nullopt);
   checkPrefix(reader, prefix);
-  if (!places.emplace(host, tenant, prefix).second) {
+  if (!takenMatches.emplace(host, tenant, prefix).second) {
     reader.complain("prefix", "is taken by another entry of the tenant");
   }
 }
@@ -105,13 +107,13 @@
   Target best;
   std::size_t bestLength = 0;
   for (Search const& search : configuration.searches) {
-    if (applies(search, host, tenant, path) && search.prefix.size() > bestLength) {
+    if (matchesRequest(search, host, tenant, path) && search.prefix.size() > bestLength) {
       best = &search;
       bestLength = search.prefix.size();
     }
   }
   for (Route const& route : configuration.routes) {
-    if (applies(route, host, tenant, path) && route.prefix.size() > bestLength) {
+    if (matchesRequest(route, host, tenant, path) && route.prefix.size() > bestLength) {
       best = &route;
       bestLength = route.prefix.size();
     }
@@ -119,12 +121,12 @@
   return best;
 }
 
-std::string const& chooseService(Route const& route, std::string_view request) {
+std::string const& chooseService(Route const& route, std::string_view requestId) {
   double total = 0;
   for (WeightedService const& choice : route.choices) {
     total += choice.weight;
   }
-  double const unit = static_cast<double>(XXH64(request.data(), request.size(), 0) >> 11) * 0x1.0p-53;
+  double const unit = static_cast<double>(XXH64(requestId.data(), requestId.size(), 0) >> 11) * 0x1.0p-53;
   double left = unit * total;
   for (WeightedService const& choice : route.choices) {
     if (left < choice.weight) {
@@ -142,7 +144,7 @@
   if (!root.isObject()) {
     return out;
   }
-  std::set<std::tuple<std::string, std::string, std::string>> places;
+  std::set<std::tuple<std::string, std::string, std::string>> takenMatches;
   root.eachField("services", 1000, [&](std::string const& name, Reader& reader) {
     Service service;
     service.capacity = reader.number("capacity", service.capacity, 0.1, 1e6);
@@ -155,7 +157,7 @@
   root.eachField("searches", 1000, [&](std::string const& name, Reader& reader) {
     Search search;
     search.name = name;
-    readPlace(reader, places, search.host, search.tenant, search.prefix);
+    readMatch(reader, takenMatches, search.host, search.tenant, search.prefix);
     std::set<std::string> services;
     reader.eachItem("shards", 1, 64, [&](Reader& inner) {
       Shard shard{inner.text("service", std::nullopt), inner.text("cut", std::nullopt)};
@@ -180,8 +182,8 @@
   root.eachField("routes", 1000, [&](std::string const& name, Reader& reader) {
     Route route;
     route.name = name;
-    readPlace(reader, places, route.host, route.tenant, route.prefix);
-    readChoices(reader, configuration, route);
+    readMatch(reader, takenMatches, route.host, route.tenant, route.prefix);
+    readWeightedServices(reader, configuration, route);
     route.maxAttempts = reader.integer("max_attempts", route.maxAttempts, 1, 8);
     route.idempotent = reader.flag("repeatable", false);
     route.deadlineMs = reader.durationMs("deadline_ms", route.deadlineMs, minDeadlineMs, maxDeadlineMs);
@@ -190,11 +192,11 @@
     route.priority = reader.integer("priority", route.priority, 0, 100);
     configuration.routes.push_back(std::move(route));
   });
-  std::set<std::string> owned;
+  std::set<std::string> assignedTenants;
   root.eachField("cells", 100, [&](std::string const& name, Reader& reader) {
     Cell cell{name, reader.names("tenants", 1000), reader.names("nodes", 1000)};
     for (std::string const& tenant : cell.tenants) {
-      if (!owned.insert(tenant).second) {
+      if (!assignedTenants.insert(tenant).second) {
         reader.complain("tenants", "'" + tenant + "' belongs to another cell");
       }
     }
--- a/libs/config/src/flags.cpp
+++ b/libs/config/src/flags.cpp
@@ -76,22 +76,22 @@
       return FlagProblem{text};
     }
     return FlagSettings{*std::move(checked.settings), path};
-  } catch (cxxopts::exceptions::exception const& wrong) {
-    return FlagProblem{wrong.what()};
+  } catch (cxxopts::exceptions::exception const& error) {
+    return FlagProblem{error.what()};
   }
 }
 
 CheckedSettings readAgain(std::string const& program, std::string const& purpose, SettingsNeeds const& needs,
-                          std::vector<std::string> const& words) {
+                          std::vector<std::string> const& commandLine) {
   std::vector<char const*> arguments;
-  arguments.reserve(words.size());
-  for (std::string const& argument : words) {
+  arguments.reserve(commandLine.size());
+  for (std::string const& argument : commandLine) {
     arguments.push_back(argument.c_str());
   }
   FlagOutcome const outcome =
       settingsFromFlags(program, purpose, needs, static_cast<int>(arguments.size()), arguments.data());
-  if (FlagSettings const* const given = std::get_if<FlagSettings>(&outcome)) {
-    return {given->settings, {}};
+  if (FlagSettings const* const flagSettings = std::get_if<FlagSettings>(&outcome)) {
+    return {flagSettings->settings, {}};
   }
   FlagProblem const* const problem = std::get_if<FlagProblem>(&outcome);
   return {std::nullopt, {{"/", problem == nullptr ? "gives no settings" : problem->text}}};
--- a/libs/config/src/json.cpp
+++ b/libs/config/src/json.cpp
@@ -6,12 +6,13 @@
 namespace limeramp::config {
 namespace {
 
-struct Progress {
+/// Counts the parsed values against the bounds and keeps the reason of the first violation.
+struct ParseState {
   JsonBounds bounds;
   std::size_t items = 0;
   std::string reason;
 
-  bool take(std::size_t depth) {
+  bool countValue(std::size_t depth) {
     if (depth > bounds.maxDepth) {
       reason = "nested deeper than " + std::to_string(bounds.maxDepth);
       return false;
@@ -24,63 +25,64 @@
   }
 };
 
+/// Parse context for picojson that refuses duplicate keys, numbers that are not finite and what exceeds the bounds.
 class StrictContext {
  public:
-  StrictContext(picojson::value& out, Progress& progress, std::size_t depth, std::string path)
-      : out_(out), progress_(progress), depth_(depth), path_(std::move(path)) {}
+  StrictContext(picojson::value& out, ParseState& state, std::size_t depth, std::string path)
+      : out_(out), state_(state), depth_(depth), path_(std::move(path)) {}
 
   bool set_null() {
     out_ = picojson::value();
-    return progress_.take(depth_);
+    return state_.countValue(depth_);
   }
   bool set_bool(bool value) {
     out_ = picojson::value(value);
-    return progress_.take(depth_);
+    return state_.countValue(depth_);
   }
   bool set_number(double value) {
     if (!std::isfinite(value)) {
-      progress_.reason = path_ + ": number out of range";
+      state_.reason = path_ + ": number out of range";
       return false;
     }
     out_ = picojson::value(value);
-    return progress_.take(depth_);
+    return state_.countValue(depth_);
   }
   template <typename Iter>
   bool parse_string(picojson::input<Iter>& in) {
     out_ = picojson::value(picojson::string_type, false);
-    return progress_.take(depth_) && picojson::_parse_string(out_.get<std::string>(), in);
+    return state_.countValue(depth_) && picojson::_parse_string(out_.get<std::string>(), in);
   }
   bool parse_array_start() {
     out_ = picojson::value(picojson::array_type, false);
-    return progress_.take(depth_);
+    return state_.countValue(depth_);
   }
   template <typename Iter>
   bool parse_array_item(picojson::input<Iter>& in, std::size_t index) {
     picojson::array& items = out_.get<picojson::array>();
     items.emplace_back();
-    StrictContext inner(items.back(), progress_, depth_ + 1, path_ + "/" + std::to_string(index));
+    StrictContext inner(items.back(), state_, depth_ + 1, path_ + "/" + std::to_string(index));
     return picojson::_parse(inner, in);
   }
   bool parse_array_stop(std::size_t) { return true; }
   bool parse_object_start() {
     out_ = picojson::value(picojson::object_type, false);
-    return progress_.take(depth_);
+    return state_.countValue(depth_);
   }
   template <typename Iter>
   bool parse_object_item(picojson::input<Iter>& in, std::string const& key) {
     picojson::object& fields = out_.get<picojson::object>();
     if (fields.contains(key)) {
-      progress_.reason = path_ + "/" + key + ": key given twice";
+      state_.reason = path_ + "/" + key + ": key given twice";
       return false;
     }
-    StrictContext inner(fields[key], progress_, depth_ + 1, path_ + "/" + key);
+    StrictContext inner(fields[key], state_, depth_ + 1, path_ + "/" + key);
     return picojson::_parse(inner, in);
   }
   bool parse_object_stop() { return true; }
 
  private:
   picojson::value& out_;
-  Progress& progress_;
+  ParseState& state_;
   std::size_t depth_;
   std::string path_;
 };
@@ -92,13 +94,13 @@
     return absl::InvalidArgumentError("longer than " + std::to_string(bounds.maxBytes) + " bytes");
   }
   picojson::value out;
-  Progress progress{bounds, 0, {}};
-  StrictContext context(out, progress, 1, "");
+  ParseState state{bounds, 0, {}};
+  StrictContext context(out, state, 1, "");
   std::string error;
   char const* const last = text.data() + text.size();
   char const* end = picojson::_parse(context, text.data(), last, &error);
-  if (!progress.reason.empty()) {
-    return absl::InvalidArgumentError(progress.reason);
+  if (!state.reason.empty()) {
+    return absl::InvalidArgumentError(state.reason);
   }
   if (!error.empty()) {
     return absl::InvalidArgumentError(error);
--- a/libs/config/src/reader.cpp
+++ b/libs/config/src/reader.cpp
@@ -14,13 +14,13 @@
 bool Reader::isObject() const { return value_.is<picojson::object>(); }
 
 picojson::value const* Reader::find(std::string const& key, bool required) {
-  seen_.insert(key);
+  readKeys_.insert(key);
   if (!isObject()) {
     return nullptr;
   }
   picojson::object const& fields = value_.get<picojson::object>();
   picojson::object::const_iterator const found = fields.find(key);
-  if (found != fields.end() && !(lenient_ && found->second.is<picojson::null>())) {
+  if (found != fields.end() && !(allowsUnknown_ && found->second.is<picojson::null>())) {
     return &found->second;
   }
   if (required) {
@@ -46,8 +46,8 @@
   if (value.empty() || value.size() > maxBytes) {
     complain(key, "must have 1 to " + std::to_string(maxBytes) + " bytes");
   }
-  for (char const inbound : value) {
-    if (static_cast<unsigned char>(inbound) < 0x21 || inbound == 0x7f) {
+  for (char const character : value) {
+    if (static_cast<unsigned char>(character) < 0x21 || character == 0x7f) {
       complain(key, "must have no spaces or control characters");
       break;
     }
@@ -153,7 +153,7 @@
       continue;
     }
     Reader inner(field.second, path_ + "/" + key + "/" + field.first, problems_);
-    inner.lenient_ = lenient_;
+    inner.allowsUnknown_ = allowsUnknown_;
     if (inner.isObject()) {
       visit(field.first, inner);
       inner.rejectUnknown();
@@ -175,7 +175,7 @@
   std::size_t index = 0;
   for (picojson::value const& item : found->get<picojson::array>()) {
     Reader inner(item, path_ + "/" + key + "/" + std::to_string(index++), problems_);
-    inner.lenient_ = lenient_;
+    inner.allowsUnknown_ = allowsUnknown_;
     if (inner.isObject()) {
       visit(inner);
       inner.rejectUnknown();
@@ -189,7 +189,7 @@
     return;
   }
   Reader inner(*found, path_ + "/" + key, problems_);
-  inner.lenient_ = lenient_;
+  inner.allowsUnknown_ = allowsUnknown_;
   if (inner.isObject()) {
     visit(inner);
     inner.rejectUnknown();
@@ -222,11 +222,11 @@
 }
 
 void Reader::rejectUnknown() {
-  if (!isObject() || lenient_) {
+  if (!isObject() || allowsUnknown_) {
     return;
   }
   for (std::pair<std::string const, picojson::value> const& field : value_.get<picojson::object>()) {
-    if (!seen_.contains(field.first)) {
+    if (!readKeys_.contains(field.first)) {
       complain(field.first, "is not a known key");
     }
   }
--- a/libs/config/src/settings_file.cpp
+++ b/libs/config/src/settings_file.cpp
@@ -5,7 +5,7 @@
 namespace limeramp::config {
 namespace {
 
-/// What tells one content of a file from the next without reading it.
+/// Identifies the content of a file without reading it.
 struct FileStamp {
   dev_t device = 0;
   ino_t number = 0;
@@ -39,7 +39,7 @@
 SettingsFile& SettingsFile::operator=(SettingsFile&&) noexcept = default;
 
 CheckedSettings SettingsFile::read() {
-  // The stamp is taken first: a write during the read then shows as a change at the next look.
+  // Takes the stamp before the read, so that the next check detects a write that happens during the read.
   std::optional<FileStamp> const stamp = stampOf(impl_->path);
   CheckedSettings checked = impl_->reader();
   impl_->lastRead = checked.settings ? stamp : std::nullopt;
--- a/libs/discovery/include/limeramp/discovery/list.h
+++ b/libs/discovery/include/limeramp/discovery/list.h
@@ -9,21 +9,21 @@
 #include <string_view>
 #include <vector>
 
-/// The platform's list of servers in limeramp's own format.
+/// Parses the platform's list of servers, in limeramp's own format.
 namespace limeramp::discovery {
 
-/// One page of the list, or all pages together.
+/// One page of the list, or the rows of all its pages.
 struct List {
   std::map<std::string, std::vector<dispatch::ServerEndpoint>> services;
-  /// Rows that were read, the malformed ones among them left out.
+  /// Number of well-formed rows; malformed ones are not counted.
   std::size_t rows = 0;
-  /// What was wrong with each malformed row. They never make the others unusable.
+  /// The first problem of each malformed row. Malformed rows leave the others usable.
   std::vector<std::string> dropped;
-  /// Names the next page; empty after the last.
+  /// Token of the next page; empty on the last page.
   std::string nextPage{};
 };
 
-/// InvalidArgument if it is no list at all.
+/// Parses one page. InvalidArgument if `body` is not a list.
 absl::StatusOr<List> readList(std::string_view body);
 
 }  // namespace limeramp::discovery
--- a/libs/discovery/include/limeramp/discovery/server_directory.h
+++ b/libs/discovery/include/limeramp/discovery/server_directory.h
@@ -11,54 +11,55 @@
 #include <string>
 #include <vector>
 
-/// The servers of each service, as a node knows them. Of each zone one node reads the platform's list and owns its
-/// tables; the others follow it (docs/servers.md).
+/// Keeps the table of servers of each service. In each zone one node, the owner, reads the platform's list; the others
+/// are its followers and poll it for tables (docs/servers.md).
 namespace limeramp::discovery {
 
 /// The steady clock of this machine.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// How often tables are asked for and the list is read.
+/// Timing and bounds of polling for tables and reading the list.
 struct ServerDirectoryOptions {
-  /// Between two requests for tables.
+  /// Interval between two polls of the owner.
   std::chrono::milliseconds pollMs{250};
-  /// An owner that does not answer within this time is passed over for `suspectMs`.
+  /// An owner that does not answer within this time is suspected, and not polled, for `suspectMs`.
   std::chrono::milliseconds replyMs{500};
   std::chrono::milliseconds suspectMs{3000};
-  /// Tables that nobody confirms for so long (longer where the list is read seldom) make other nodes read the list.
+  /// A table that was not confirmed for this time, or for 2.5 list intervals if that is longer, is stale: other nodes
+  /// then begin to read the list.
   std::chrono::milliseconds staleAfterMs{1000};
-  /// For so long after its start a node asks for all tables, whatever it holds.
+  /// Time after its start during which a node requests complete tables, whatever it holds.
   std::chrono::milliseconds startupMs{2000};
-  /// Between two readings of the list, and between two of its pages.
+  /// Interval between two reads of the list, and between two of its pages.
   std::chrono::milliseconds listMs{400};
   std::chrono::milliseconds pageMs{100};
-  /// First readings of a zone's nodes are spread over this time.
+  /// The first reads of a zone's nodes are spread over this time.
   std::chrono::milliseconds firstReadMs{200};
-  /// How long a node that starts waits to hear of others in its zone before it reads the list for itself.
+  /// How long a starting node that knows no other node of its zone waits before it reads the list itself.
   std::chrono::milliseconds firstPeersMs{300};
-  /// How long a node without tables leaves the list to the first node of its zone.
+  /// How long a node without tables waits for the first-ranked node of its zone to read the list.
   std::chrono::milliseconds firstReaderMs{1000};
-  /// The longest pause after failed readings; pauses double.
+  /// Upper bound, before jitter, of the backoff after failed reads; it doubles with each failure.
   std::chrono::milliseconds backOffMaxMs{2000};
-  /// While tables are stale, nodes begin to read the list one after another, at this interval.
-  std::chrono::milliseconds stepInMs{200};
-  /// A warm-up that ends later than known by less than this is not handed on: it only runs down.
+  /// While a table is stale, the nodes begin to read the list one after another in rank order, at this interval.
+  std::chrono::milliseconds takeoverStepMs{200};
+  /// If the end of a warm-up moves later by less than this, the known end stays: the remaining time only runs down.
   std::chrono::milliseconds warmupRiseMs{500};
-  /// A list with more pages is given up.
+  /// A list with more pages than this is discarded.
   std::size_t maxPages = 64;
-  /// A list that becomes empty at once is believed only after this time.
+  /// A list that had rows and becomes empty takes effect only once it has been empty for this time.
   std::chrono::milliseconds emptyListIgnoredMs{10'000};
-  /// A follower that has not asked for so long is sent no pushes.
+  /// A follower that has not polled for this time is sent no pushes.
   std::chrono::milliseconds followerMs{2000};
 };
 
-/// The nodes of this node's zone, itself among them, and the services that it needs.
+/// The addresses of the nodes in this node's zone, its own included, and the services that this node needs.
 struct ZoneView {
   std::vector<std::string> zoneAddresses;
   std::set<std::string> services;
 };
 
-/// What to do: messages to send, services whose servers changed, and whether to read a page of the list now.
+/// What the caller does next: send messages, apply the changed tables of services, and read a page of the list if told.
 struct DirectoryStep {
   std::vector<distribution::Outgoing> sends;
   std::vector<std::string> changed;
@@ -67,8 +68,8 @@
   bool emptyListIgnored = false;
 };
 
-/// A pure state machine. A table that nobody confirms stays in use: old servers are better than none. Not safe for use
-/// by several threads.
+/// State machine without I/O. A table that is no longer confirmed stays in use, since outdated servers are better than
+/// none. Not thread-safe.
 class ServerDirectory {
  public:
   ServerDirectory(ServerDirectoryOptions const& options, std::string const& node, std::string const& address,
@@ -77,23 +78,24 @@
   ServerDirectory(ServerDirectory&&) noexcept;
   ServerDirectory& operator=(ServerDirectory&&) noexcept;
 
-  /// Changes how often the platform's list is read, from the next reading on.
+  /// Changes how often the platform's list is read, from the next read on.
   void setListRate(std::chrono::milliseconds listMs, std::chrono::milliseconds pageMs);
 
-  /// To be called every 50 ms or so.
+  /// Polls the owner and reads the list when they are due. Call it about every 50 ms.
   DirectoryStep tick(TimePoint now, ZoneView const& zoneView);
-  /// Takes in a message from `address`; the answer, if there is one, is among the sends.
+  /// Handles a message from `address`; a reply, if any, is among the sends.
   DirectoryStep onMessage(TimePoint now, std::string const& address, messages::TableRequest const& message);
   DirectoryStep onMessage(TimePoint now, std::string const& address, messages::TableResponse const& message);
-  /// A page of the list was read.
+  /// Handles a page of the list that was read.
   DirectoryStep onListPage(TimePoint now, List const& list);
-  /// The page could not be read: without a time, the process could not ask at all; `overRate`: the platform refused.
+  /// Handles a failed read. The form without a time: the process could not send the request. `rateLimited`: the
+  /// platform refused it for its rate.
   void listFailed();
-  void listFailed(TimePoint now, bool overRate);
+  void listFailed(TimePoint now, bool rateLimited);
 
-  /// The servers of a service as of now.
+  /// The servers of a service, with ages and warm-up times as of `now`.
   std::vector<dispatch::ServerEndpoint> rows(TimePoint now, std::string const& service) const;
-  /// Since the table was last confirmed; nothing if none is known.
+  /// Time since the table was last confirmed, or since the last list if the service has none; nothing without either.
   std::optional<std::chrono::milliseconds> ageMs(TimePoint now, std::string const& service) const;
 
  private:
--- a/libs/discovery/src/list.cpp
+++ b/libs/discovery/src/list.cpp
@@ -28,7 +28,7 @@
       return absl::InvalidArgumentError("the list's next_page is too long");
     }
   }
-  std::set<std::pair<std::string, std::string>> endpointHistory;
+  std::set<std::pair<std::string, std::string>> seenEndpoints;
   std::size_t index = 0;
   for (picojson::value const& item : parsed->get("servers").get<picojson::array>()) {
     std::vector<config::Problem> problems;
@@ -47,7 +47,7 @@
     if (problems.empty() && !net::Address::parse(row.address)) {
       reader.complain("address", "must be an IP number and a port");
     }
-    if (problems.empty() && !endpointHistory.emplace(service, row.address).second) {
+    if (problems.empty() && !seenEndpoints.emplace(service, row.address).second) {
       reader.complain("address", "stands twice in the service");
     }
     if (!problems.empty()) {
--- a/libs/discovery/src/server_directory.cpp
+++ b/libs/discovery/src/server_directory.cpp
@@ -12,21 +12,24 @@
 
 constexpr std::size_t maxServiceTables = 2000;
 
+/// A node that polls this one, with the digests of the tables that it holds.
 struct Follower {
   std::string address;
   TimePoint at{};
-  std::map<std::string, std::uint64_t> has;
+  std::map<std::string, std::uint64_t> held;
 };
 
+/// The known servers of one service. While `ownedUntil` is ahead, this node reads the list for the service.
 struct ServiceTable {
   std::vector<messages::TableRow> rows;
   std::uint64_t digest = 0;
-  std::optional<TimePoint> asOf;
-  TimePoint servedUntil{};
+  std::optional<TimePoint> confirmedAt;
+  TimePoint ownedUntil{};
 };
 
+/// When an incarnation of a server was first listed and when its warm-up ends.
 struct EndpointHistory {
-  TimePoint firstAt{};
+  TimePoint firstSeenAt{};
   TimePoint warmupUntil{};
   std::uint64_t warmupReportedMs = 0;
 };
@@ -37,8 +40,9 @@
   return {service, row.address + ' ' + row.incarnation};
 }
 
-std::uint64_t digestOf(std::string const& service, std::vector<messages::TableRow> const& rows,
-                       std::map<EndpointKey, EndpointHistory> const& endpointHistory) {
+/// Ignores ages and the running down of warm-up times, so that the passing of time does not change a table's digest.
+std::uint64_t tableDigest(std::string const& service, std::vector<messages::TableRow> const& rows,
+                          std::map<EndpointKey, EndpointHistory> const& endpointHistory) {
   std::uint64_t digest = XXH64("table", 5, 0);
   for (messages::TableRow row : rows) {
     row.ageMs = 0;
@@ -62,20 +66,20 @@
   std::map<std::string, TimePoint> askedAt;
   std::map<std::string, TimePoint> suspects;
   TimePoint nextPollAt{};
-  bool knowsZone = false;
-  bool isFirstOfZone = true;
+  bool knowsOtherNodes = false;
+  bool ranksFirstInZone = true;
   std::set<std::string> services;
   std::optional<TimePoint> startedAt;
   TimePoint nextListAt{};
   bool listPending = false;
   std::string page;
-  std::size_t pages = 0;
-  std::size_t lastPages = 1;
+  std::size_t pagesRead = 0;
+  std::size_t pagesOfLastList = 1;
   List collected;
   std::size_t listFailures = 0;
-  std::size_t lastRows = 0;
+  std::size_t rowsOfLastList = 0;
   std::optional<TimePoint> listedAt;
-  std::set<EndpointKey> absent;
+  std::set<EndpointKey> missingOnce;
   std::optional<TimePoint> emptySince;
 
   messages::Table tableOf(TimePoint now, std::string const& service, bool complete) const {
@@ -93,7 +97,7 @@
         std::map<EndpointKey, EndpointHistory>::const_iterator const known =
             endpointHistory.find(endpointKey(service, row));
         if (known != endpointHistory.end()) {
-          row.ageMs = millisBetween(known->second.firstAt, now);
+          row.ageMs = millisBetween(known->second.firstSeenAt, now);
           row.warmupMs = millisBetween(now, known->second.warmupUntil);
         }
       }
@@ -101,27 +105,29 @@
     return table;
   }
 
+  /// 0 if `to` is before `from`.
   static std::uint64_t millisBetween(TimePoint from, TimePoint to) {
     return static_cast<std::uint64_t>(std::max<long>(0, std::chrono::duration_cast<Ms>(to - from).count()));
   }
 
-  bool adopt(TimePoint now, std::string const& service, std::vector<messages::TableRow> const& rows,
-             std::optional<std::uint64_t> reportedDigest) {
-    bool olderThanKnown = false;
+  /// Takes over the rows of a service. Returns whether followers and users of the table have to learn of a change.
+  bool updateTable(TimePoint now, std::string const& service, std::vector<messages::TableRow> const& rows,
+                   std::optional<std::uint64_t> reportedDigest) {
+    bool seenEarlier = false;
     std::set<EndpointKey> listedKeys;
     for (messages::TableRow const& row : rows) {
-      TimePoint const firstAt = now - Ms(static_cast<long>(row.ageMs));
+      TimePoint const firstSeenAt = now - Ms(static_cast<long>(row.ageMs));
       TimePoint const warmupUntil = now + Ms(static_cast<long>(row.warmupMs));
       EndpointKey const key = endpointKey(service, row);
       listedKeys.insert(key);
       std::map<EndpointKey, EndpointHistory>::iterator const known = endpointHistory.find(key);
       if (known == endpointHistory.end()) {
-        endpointHistory.emplace(key, EndpointHistory{firstAt, warmupUntil, row.warmupMs});
+        endpointHistory.emplace(key, EndpointHistory{firstSeenAt, warmupUntil, row.warmupMs});
         continue;
       }
       EndpointHistory& entry = known->second;
-      olderThanKnown = olderThanKnown || firstAt + options.listMs < entry.firstAt;
-      entry.firstAt = std::min(entry.firstAt, firstAt);
+      seenEarlier = seenEarlier || firstSeenAt + options.listMs < entry.firstSeenAt;
+      entry.firstSeenAt = std::min(entry.firstSeenAt, firstSeenAt);
       if (row.warmupMs == 0 || entry.warmupReportedMs == 0 || warmupUntil > entry.warmupUntil + options.warmupRiseMs) {
         entry.warmupReportedMs = row.warmupMs;
         entry.warmupUntil = warmupUntil;
@@ -131,15 +137,17 @@
       return entry.first.first == service && !listedKeys.contains(entry.first);
     });
     ServiceTable& serviceTable = serviceTables[service];
-    std::uint64_t const digest = reportedDigest.value_or(digestOf(service, rows, endpointHistory));
-    bool const changed = !serviceTable.asOf || serviceTable.digest != digest || olderThanKnown;
+    std::uint64_t const digest = reportedDigest.value_or(tableDigest(service, rows, endpointHistory));
+    bool const changed = !serviceTable.confirmedAt || serviceTable.digest != digest || seenEarlier;
     serviceTable.rows = rows;
     serviceTable.digest = digest;
-    serviceTable.asOf = now;
+    serviceTable.confirmedAt = now;
     return changed;
   }
 
-  std::vector<messages::TableRow> rowsOf(List const& list, std::string const& service, bool complete) {
+  /// The rows of a service in a list. `complete`: the list came in one page. Between pages a row can be missed, so a
+  /// row that is absent from a list of several pages is kept as draining once and removed if it is absent again.
+  std::vector<messages::TableRow> listedRows(List const& list, std::string const& service, bool complete) {
     std::vector<messages::TableRow> rows;
     std::map<std::string, std::vector<dispatch::ServerEndpoint>>::const_iterator const found =
         list.services.find(service);
@@ -156,34 +164,34 @@
     std::set<EndpointKey> listedKeys;
     for (messages::TableRow const& row : rows) {
       listedKeys.insert(endpointKey(service, row));
-      absent.erase(endpointKey(service, row));
+      missingOnce.erase(endpointKey(service, row));
     }
     for (messages::TableRow const& row : serviceTables[service].rows) {
       EndpointKey const key = endpointKey(service, row);
       if (listedKeys.contains(key)) {
         continue;
       }
-      if (absent.insert(key).second) {
+      if (missingOnce.insert(key).second) {
         messages::TableRow kept = row;
         kept.draining = true;
         kept.warmupMs = 0;
         rows.push_back(std::move(kept));
       } else {
-        absent.erase(key);
+        missingOnce.erase(key);
       }
     }
     return rows;
   }
 
   void readListIfDue(TimePoint now, DirectoryStep& out) {
-    bool const own = std::any_of(
+    bool const ownsTables = std::any_of(
         serviceTables.begin(), serviceTables.end(),
-        [&](std::pair<std::string const, ServiceTable> const& entry) { return now <= entry.second.servedUntil; });
-    bool const withoutServices = mayReadWithoutServices(now);
-    if ((own || withoutServices || !page.empty()) && !listPending && now >= nextListAt) {
+        [&](std::pair<std::string const, ServiceTable> const& entry) { return now <= entry.second.ownedUntil; });
+    bool const readWithoutServices = mayReadWithoutServices(now);
+    if ((ownsTables || readWithoutServices || !page.empty()) && !listPending && now >= nextListAt) {
       listPending = true;
       if (page.empty()) {
-        nextListAt = now + std::max(options.listMs, options.pageMs * static_cast<long>(lastPages));
+        nextListAt = now + std::max(options.listMs, options.pageMs * static_cast<long>(pagesOfLastList));
       }
       out.readList = true;
       out.page = page;
@@ -192,39 +200,44 @@
 
   Ms staleAfterMs() const {
     return std::max(options.staleAfterMs,
-                    std::max(options.listMs, options.pageMs * static_cast<long>(lastPages)) * 5 / 2);
+                    std::max(options.listMs, options.pageMs * static_cast<long>(pagesOfLastList)) * 5 / 2);
   }
 
-  /// Before this node knows its services it may read the list all the same, so that it has their servers once it does.
-  /// In a zone whose nodes start together only the first of them does, since the platform takes few calls a second.
+  /// A node without tables may read the list before it knows its services, so that it has their servers once it does.
+  /// If the nodes of a zone start together, only the first-ranked one does, since the platform takes few calls a
+  /// second.
   bool mayReadWithoutServices(TimePoint now) const {
-    bool const hasTables = lastRows > 0 || std::any_of(serviceTables.begin(), serviceTables.end(),
-                                                       [](std::pair<std::string const, ServiceTable> const& entry) {
-                                                         return entry.second.asOf.has_value();
-                                                       });
+    bool const hasTables =
+        rowsOfLastList > 0 || std::any_of(serviceTables.begin(), serviceTables.end(),
+                                          [](std::pair<std::string const, ServiceTable> const& entry) {
+                                            return entry.second.confirmedAt.has_value();
+                                          });
     if (hasTables || !startedAt) {
       return false;
     }
-    Ms const leaveToOthersMs = !knowsZone ? options.firstPeersMs : isFirstOfZone ? Ms(0) : options.firstReaderMs;
-    return now - *startedAt >= leaveToOthersMs + spreadOfFirstRead();
+    Ms const waitForOthersMs = !knowsOtherNodes   ? options.firstPeersMs
+                               : ranksFirstInZone ? Ms(0)
+                                                  : options.firstReaderMs;
+    return now - *startedAt >= waitForOthersMs + firstReadDelay();
   }
 
-  Ms spreadOfFirstRead() const {
+  Ms firstReadDelay() const {
     return options.firstReadMs * static_cast<long>(XXH64(node.data(), node.size(), 1) % 100) / 100;
   }
 
-  void restartList() {
+  void discardPages() {
     page.clear();
-    pages = 0;
+    pagesRead = 0;
     collected = List{};
   }
 
-  void push(TimePoint now, std::vector<std::string> const& changed, std::vector<distribution::Outgoing>& sends) {
+  void pushToFollowers(TimePoint now, std::vector<std::string> const& changed,
+                       std::vector<distribution::Outgoing>& sends) {
     for (std::pair<std::string const, Follower>& entry : followers) {
       messages::TableResponse response;
       response.node = node;
       for (std::string const& service : changed) {
-        if (entry.second.has.contains(service) && now - entry.second.at <= options.followerMs) {
+        if (entry.second.held.contains(service) && now - entry.second.at <= options.followerMs) {
           response.tables.push_back(tableOf(now, service, true));
         }
       }
@@ -276,8 +289,8 @@
     return now - entry.second.at > impl.options.followerMs;
   });
   std::map<std::string, messages::TableRequest> polls;
-  std::string first;
-  std::string firstOther;
+  std::string firstRanked;
+  std::string firstRankedOther;
   std::size_t position = 0;
   std::size_t rank = 0;
   for (std::string const& candidate : distribution::rankByRendezvousHash("list/" + impl.zone, zoneView.zoneAddresses)) {
@@ -286,33 +299,34 @@
     }
     ++rank;
     if (candidate == impl.address || !impl.suspects.contains(candidate)) {
-      first = first.empty() ? candidate : first;
-      firstOther = firstOther.empty() && candidate != impl.address ? candidate : firstOther;
+      firstRanked = firstRanked.empty() ? candidate : firstRanked;
+      firstRankedOther = firstRankedOther.empty() && candidate != impl.address ? candidate : firstRankedOther;
     }
   }
-  first = first.empty() ? impl.address : first;
-  impl.knowsZone = zoneView.zoneAddresses.size() > 1;
-  impl.isFirstOfZone = first == impl.address;
+  firstRanked = firstRanked.empty() ? impl.address : firstRanked;
+  impl.knowsOtherNodes = zoneView.zoneAddresses.size() > 1;
+  impl.ranksFirstInZone = firstRanked == impl.address;
   for (std::string const& service : zoneView.services) {
     ServiceTable& serviceTable = impl.serviceTables[service];
-    bool const stale = !serviceTable.asOf || now - *serviceTable.asOf > impl.staleAfterMs();
-    TimePoint const staleSince = serviceTable.asOf ? *serviceTable.asOf + impl.staleAfterMs() : *impl.startedAt;
-    if (first == impl.address || (stale && now - staleSince >= impl.options.stepInMs * position)) {
-      serviceTable.servedUntil = std::max(serviceTable.servedUntil, now + impl.options.pollMs * 2);
+    bool const stale = !serviceTable.confirmedAt || now - *serviceTable.confirmedAt > impl.staleAfterMs();
+    TimePoint const staleSince =
+        serviceTable.confirmedAt ? *serviceTable.confirmedAt + impl.staleAfterMs() : *impl.startedAt;
+    if (firstRanked == impl.address || (stale && now - staleSince >= impl.options.takeoverStepMs * position)) {
+      serviceTable.ownedUntil = std::max(serviceTable.ownedUntil, now + impl.options.pollMs * 2);
     }
-    std::string owner = first;
+    std::string owner = firstRanked;
     bool const starting = now - *impl.startedAt <= impl.options.startupMs;
     if (owner == impl.address && starting) {
-      owner = firstOther;
+      owner = firstRankedOther;
     }
     if (!owner.empty() && owner != impl.address) {
       messages::TableRequest& poll = polls[owner];
       poll.node = impl.node;
       poll.address = impl.address;
-      messages::Table has;
-      has.service = service;
-      has.digest = serviceTable.asOf && !starting ? serviceTable.digest : 0;
-      poll.have.push_back(std::move(has));
+      messages::Table held;
+      held.service = service;
+      held.digest = serviceTable.confirmedAt && !starting ? serviceTable.digest : 0;
+      poll.have.push_back(std::move(held));
     }
   }
   for (std::pair<std::string const, messages::TableRequest>& entry : polls) {
@@ -329,18 +343,18 @@
   Follower& follower = impl.followers[message.node];
   follower.address = message.address;
   follower.at = now;
-  follower.has.clear();
+  follower.held.clear();
   messages::TableResponse response;
   response.node = impl.node;
-  for (messages::Table const& has : message.have) {
-    if (impl.serviceTables.size() >= maxServiceTables && !impl.serviceTables.contains(has.service)) {
+  for (messages::Table const& held : message.have) {
+    if (impl.serviceTables.size() >= maxServiceTables && !impl.serviceTables.contains(held.service)) {
       continue;
     }
-    ServiceTable& serviceTable = impl.serviceTables[has.service];
-    serviceTable.servedUntil = now + impl.options.followerMs;
-    follower.has[has.service] = has.digest;
-    if (serviceTable.asOf && now - *serviceTable.asOf <= impl.staleAfterMs()) {
-      response.tables.push_back(impl.tableOf(now, has.service, serviceTable.digest != has.digest));
+    ServiceTable& serviceTable = impl.serviceTables[held.service];
+    serviceTable.ownedUntil = now + impl.options.followerMs;
+    follower.held[held.service] = held.digest;
+    if (serviceTable.confirmedAt && now - *serviceTable.confirmedAt <= impl.staleAfterMs()) {
+      response.tables.push_back(impl.tableOf(now, held.service, serviceTable.digest != held.digest));
     }
   }
   out.sends.push_back({message.address, std::move(response)});
@@ -356,18 +370,19 @@
   for (messages::Table const& table : message.tables) {
     ServiceTable& serviceTable = impl.serviceTables[table.service];
     if (table.complete) {
-      if (impl.adopt(now, table.service, table.rows, table.digest)) {
+      if (impl.updateTable(now, table.service, table.rows, table.digest)) {
         out.changed.push_back(table.service);
       }
-    } else if (serviceTable.asOf && serviceTable.digest == table.digest) {
-      serviceTable.asOf = now;
+    } else if (serviceTable.confirmedAt && serviceTable.digest == table.digest) {
+      serviceTable.confirmedAt = now;
     }
   }
   bool const pastStartup = impl.startedAt && now - *impl.startedAt > impl.options.startupMs;
-  bool const stale = std::any_of(impl.serviceTables.begin(), impl.serviceTables.end(),
-                                 [&](std::pair<std::string const, ServiceTable> const& entry) {
-                                   return entry.second.asOf && now - *entry.second.asOf > impl.staleAfterMs();
-                                 });
+  bool const stale =
+      std::any_of(impl.serviceTables.begin(), impl.serviceTables.end(),
+                  [&](std::pair<std::string const, ServiceTable> const& entry) {
+                    return entry.second.confirmedAt && now - *entry.second.confirmedAt > impl.staleAfterMs();
+                  });
   if (pastStartup && stale && message.tables.empty()) {
     impl.suspects[address] = now + impl.options.suspectMs;
   }
@@ -379,8 +394,8 @@
   DirectoryStep out;
   impl.listPending = false;
   impl.listFailures = 0;
-  if (!page.nextPage.empty() && impl.pages + 1 >= impl.options.maxPages) {
-    impl.restartList();
+  if (!page.nextPage.empty() && impl.pagesRead + 1 >= impl.options.maxPages) {
+    impl.discardPages();
     return out;
   }
   for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& entry : page.services) {
@@ -398,7 +413,7 @@
       }
     }
   }
-  ++impl.pages;
+  ++impl.pagesRead;
   impl.page = page.nextPage;
   if (!page.nextPage.empty()) {
     impl.listPending = true;
@@ -407,23 +422,23 @@
     return out;
   }
   List const list = std::move(impl.collected);
-  bool const complete = impl.pages == 1;
-  impl.lastPages = impl.pages;
-  impl.restartList();
-  if (list.rows == 0 && impl.lastRows > 0) {
+  bool const complete = impl.pagesRead == 1;
+  impl.pagesOfLastList = impl.pagesRead;
+  impl.discardPages();
+  if (list.rows == 0 && impl.rowsOfLastList > 0) {
     impl.emptySince = impl.emptySince.value_or(now);
     if (now - *impl.emptySince < impl.options.emptyListIgnoredMs) {
       out.emptyListIgnored = true;
       for (std::pair<std::string const, ServiceTable>& entry : impl.serviceTables) {
-        if (now <= entry.second.servedUntil && entry.second.asOf) {
-          entry.second.asOf = now;
+        if (now <= entry.second.ownedUntil && entry.second.confirmedAt) {
+          entry.second.confirmedAt = now;
         }
       }
       return out;
     }
   }
   impl.emptySince.reset();
-  impl.lastRows = list.rows;
+  impl.rowsOfLastList = list.rows;
   impl.listedAt = now;
   for (std::pair<std::string const, std::vector<dispatch::ServerEndpoint>> const& entry : list.services) {
     if (impl.serviceTables.size() < maxServiceTables) {
@@ -431,27 +446,27 @@
     }
   }
   for (std::pair<std::string const, ServiceTable>& entry : impl.serviceTables) {
-    if (now > entry.second.servedUntil && entry.second.asOf) {
+    if (now > entry.second.ownedUntil && entry.second.confirmedAt) {
       continue;
     }
-    if (impl.adopt(now, entry.first, impl.rowsOf(list, entry.first, complete), std::nullopt)) {
+    if (impl.updateTable(now, entry.first, impl.listedRows(list, entry.first, complete), std::nullopt)) {
       out.changed.push_back(entry.first);
     }
   }
-  impl.push(now, out.changed, out.sends);
+  impl.pushToFollowers(now, out.changed, out.sends);
   return out;
 }
 
 void ServerDirectory::listFailed() {
   impl_->listPending = false;
-  impl_->restartList();
+  impl_->discardPages();
 }
 
-void ServerDirectory::listFailed(TimePoint now, bool overRate) {
+void ServerDirectory::listFailed(TimePoint now, bool rateLimited) {
   Impl& impl = *impl_;
   impl.listPending = false;
-  if (!overRate) {
-    impl.restartList();
+  if (!rateLimited) {
+    impl.discardPages();
   }
   impl.listFailures = std::min<std::size_t>(impl.listFailures + 1, 4);
   Ms const waitMs = std::min(impl.options.backOffMaxMs, impl.options.listMs * (1L << impl.listFailures) / 2);
@@ -474,9 +489,9 @@
 
 std::optional<Ms> ServerDirectory::ageMs(TimePoint now, std::string const& service) const {
   std::map<std::string, ServiceTable>::const_iterator const found = impl_->serviceTables.find(service);
-  std::optional<TimePoint> const asOf =
-      found == impl_->serviceTables.end() || !found->second.asOf ? impl_->listedAt : found->second.asOf;
-  return asOf ? std::optional<Ms>(std::chrono::duration_cast<Ms>(now - *asOf)) : std::nullopt;
+  std::optional<TimePoint> const confirmedAt =
+      found == impl_->serviceTables.end() || !found->second.confirmedAt ? impl_->listedAt : found->second.confirmedAt;
+  return confirmedAt ? std::optional<Ms>(std::chrono::duration_cast<Ms>(now - *confirmedAt)) : std::nullopt;
 }
 
 }  // namespace limeramp::discovery
--- a/libs/logging/include/limeramp/logging/logging.h
+++ b/libs/logging/include/limeramp/logging/logging.h
@@ -5,13 +5,13 @@
 #include <string>
 #include <string_view>
 
-/// Numbered log events. docs/events.md is their catalogue; a number is never given to another event.
+/// Numbered log events, listed in docs/events.md. A number is never reused for another event.
 namespace limeramp::logging {
 
-/// How urgent an event is: an error needs somebody, a warning should be looked at, the others tell what happens.
+/// Severity of an event: an error needs an operator's action, a warning should be examined, the others are informative.
 enum class Level { debug, info, warning, error };
 
-/// The number is part of the interface: operators search for it.
+/// Numbers are part of the interface, since operators search the logs for them.
 enum class Event : int {
   processStarted = 100,
   processStopping = 101,
@@ -57,7 +57,7 @@
   rosterChanged = 602,
 };
 
-/// One row of the catalogue.
+/// An event's entry in the catalogue.
 struct EventInfo {
   Event event;
   Level level;
@@ -65,19 +65,19 @@
   std::string_view meaning;
 };
 
-/// All events, by number.
+/// All events, ordered by number.
 std::span<EventInfo const> catalogue();
 
-/// One `name=value` of a line.
+/// One `name=value` field of a log line.
 struct Field {
   std::string_view name;
   std::string value;
 };
 
-/// Writes lines of `minimum` and above to standard error, as `program@node`. Call it once, before any thread is
-/// started.
+/// Opens the log on standard error for events of level `minimum` and above, under the name `program@node`. Call it
+/// once, before any thread is started.
 void open(std::string const& program, std::string const& node, Level minimum);
-/// Logs one event. Safe to call from any thread; does nothing before open().
+/// Logs one event. Thread-safe. Has no effect before open().
 void raise(Event event, std::initializer_list<Field> fields = {});
 
 }  // namespace limeramp::logging
--- a/libs/messages/include/limeramp/messages/codec.h
+++ b/libs/messages/include/limeramp/messages/codec.h
@@ -10,36 +10,36 @@
 #include <type_traits>
 #include <vector>
 
-/// Avro records in binary form. A record describes its fields once, in `describe`; schema, writing and reading follow
-/// from it. A reader resolves the writer's schema field by field, by name: fields that the writer does not know keep
-/// their default, fields that the reader does not know are passed over. Malformed bytes end in a status, never in
-/// undefined behaviour; sizes and depths are bounded.
+/// Avro records in binary form. A record lists its fields once, in `describe`; its schema, encoding and decoding are
+/// derived from it. A reader resolves the writer's schema by field name: fields unknown to the writer keep their
+/// default, fields unknown to the reader are skipped. Malformed bytes give a status, never undefined behaviour; sizes
+/// and depths are bounded.
 namespace limeramp::messages {
 
-/// Puts a checksum before the bytes.
+/// Returns the bytes with their checksum in front.
 std::string withChecksum(std::string const& bytes);
-/// The bytes behind a checksum that matches; nothing otherwise. Points into `bytes`.
+/// Returns the bytes after the checksum if it matches, nothing otherwise. The result points into `bytes`.
 std::optional<std::string_view> verifyChecksum(std::string_view bytes);
 
-/// Writes one record of a schema, field by field, through Avro C.
-class Writer {
+/// Encodes one record of a schema, field by field, through Avro C.
+class RecordWriter {
  public:
-  explicit Writer(std::string const& schema);
-  ~Writer();
-  Writer(Writer const&) = delete;
-  Writer& operator=(Writer const&) = delete;
+  explicit RecordWriter(std::string const& schema);
+  ~RecordWriter();
+  RecordWriter(RecordWriter const&) = delete;
+  RecordWriter& operator=(RecordWriter const&) = delete;
 
-  /// Steps into a field, the next item of an array, or a branch of a union; leave() steps out again.
+  /// enter() steps into a field, append() into a new array item, branch() into a union branch; leave() steps out.
   void enter(char const* name);
   void append();
   void branch(int which);
   void leave();
-  /// Writes the value where the writer stands.
+  /// Writes the value at the current position.
   void put(std::int64_t value);
   void put(bool value);
   void put(double value);
   void put(std::string const& value);
-  /// The bytes of the record.
+  /// Returns the bytes of the record; empty if the schema or the record is invalid.
   std::string finish();
 
  private:
@@ -47,30 +47,31 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Reads one record that was written under `schema`. After the first fault good() is false and all reads give defaults.
-class Source {
+/// Decodes one record that was written under `schema`. After the first error good() stays false and reads have no
+/// effect.
+class RecordReader {
  public:
-  Source(std::string const& schema, std::string_view bytes);
-  ~Source();
-  Source(Source const&) = delete;
-  Source& operator=(Source const&) = delete;
+  RecordReader(std::string const& schema, std::string_view bytes);
+  ~RecordReader();
+  RecordReader(RecordReader const&) = delete;
+  RecordReader& operator=(RecordReader const&) = delete;
 
-  /// False once anything was malformed.
+  /// False after the first error.
   bool good() const;
-  /// Whether the writer knew the field; enter() steps into it.
+  /// Whether the writer's schema has the field; enter() steps into it.
   bool has(char const* name);
   bool enter(char const* name);
-  /// Items of the array here; item() steps into one, branch() into the chosen branch of a union, leave() out again.
+  /// Number of items of the current array; item() steps into one, branch() into the chosen union branch, leave() out.
   std::size_t count();
   bool item(std::size_t index);
   int branch();
   void leave();
-  /// Reads the value here.
+  /// Reads the value at the current position.
   void get(std::int64_t& value);
   void get(bool& value);
   void get(double& value);
   void get(std::string& value);
-  /// Makes the source bad.
+  /// Makes good() false.
   void invalidate();
 
  private:
@@ -78,26 +79,26 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// Kinds of fields that are written as arrays.
+/// Field types that are encoded as arrays.
 template <typename T>
 struct IsVector : std::false_type {};
 template <typename T>
 struct IsVector<std::vector<T>> : std::true_type {};
 
-/// Kinds of fields that are written as unions with null.
+/// Field types that are encoded as unions with null.
 template <typename T>
 struct IsOptional : std::false_type {};
 template <typename T>
 struct IsOptional<std::optional<T>> : std::true_type {};
 
-/// Makes the Avro schema of a described record.
-class SchemaText {
+/// Visitor of `describe` that builds the Avro schema of a record.
+class SchemaBuilder {
  public:
-  /// The schema of T, with all records that it holds.
+  /// Returns the schema of T, including those of its nested records.
   template <typename T>
   static std::string of() {
-    SchemaText maker;
-    return maker.type<T>();
+    SchemaBuilder builder;
+    return builder.type<T>();
   }
 
   template <typename T>
@@ -121,16 +122,16 @@
     } else if constexpr (IsOptional<T>::value) {
       return "[\"null\"," + type<typename T::value_type>() + "]";
     } else {
-      for (std::string const& name : named_) {
+      for (std::string const& name : definedRecords_) {
         if (name == T::name) {
           return "\"" + name + "\"";
         }
       }
-      named_.push_back(T::name);
+      definedRecords_.push_back(T::name);
       std::string outer;
       outer.swap(text_);
-      T sample{};
-      T::describe(*this, sample);
+      T record{};
+      T::describe(*this, record);
       std::string out = std::string("{\"type\":\"record\",\"name\":\"") + T::name + "\",\"fields\":[" + text_ + "]}";
       text_.swap(outer);
       return out;
@@ -138,13 +139,13 @@
   }
 
   std::string text_;
-  std::vector<std::string> named_;
+  std::vector<std::string> definedRecords_;
 };
 
-/// Visits a described record and writes it.
+/// Visitor of `describe` that encodes a record.
 class Packer {
  public:
-  explicit Packer(Writer& writer) : writer_(writer) {}
+  explicit Packer(RecordWriter& writer) : writer_(writer) {}
 
   template <typename T>
   void operator()(char const* name, T const& value) {
@@ -153,7 +154,7 @@
     writer_.leave();
   }
 
-  /// Writes a value of any kind of field.
+  /// Encodes a value of any field type.
   template <typename T>
   void write(T const& value) {
     if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::string>) {
@@ -180,81 +181,81 @@
   }
 
  private:
-  Writer& writer_;
+  RecordWriter& writer_;
 };
 
-/// Visits a described record and reads it.
+/// Visitor of `describe` that decodes a record.
 class Unpacker {
  public:
   static constexpr bool reads = true;
-  explicit Unpacker(Source& source) : source_(source) {}
+  explicit Unpacker(RecordReader& reader) : reader_(reader) {}
 
   template <typename T>
   void operator()(char const* name, T& value) {
-    if (source_.has(name) && source_.enter(name)) {
+    if (reader_.has(name) && reader_.enter(name)) {
       read(value);
-      source_.leave();
+      reader_.leave();
     }
   }
 
-  /// Reads a value of any kind of field.
+  /// Decodes a value of any field type.
   template <typename T>
   void read(T& value) {
     if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::string> || std::is_same_v<T, double>) {
-      source_.get(value);
+      reader_.get(value);
     } else if constexpr (std::is_integral_v<T>) {
       std::int64_t number = 0;
-      source_.get(number);
+      reader_.get(number);
       value = static_cast<T>(number);
     } else if constexpr (IsVector<T>::value) {
-      std::size_t const count = source_.count();
+      std::size_t const count = reader_.count();
       value.clear();
-      for (std::size_t index = 0; index < count && source_.item(index); ++index) {
+      for (std::size_t index = 0; index < count && reader_.item(index); ++index) {
         value.emplace_back();
         read(value.back());
-        source_.leave();
+        reader_.leave();
       }
     } else if constexpr (IsOptional<T>::value) {
       value.reset();
-      if (source_.branch() == 1) {
+      if (reader_.branch() == 1) {
         read(value.emplace());
       }
-      source_.leave();
+      reader_.leave();
     } else {
       T::describe(*this, value);
     }
   }
 
  private:
-  Source& source_;
+  RecordReader& reader_;
 };
 
-/// The schema of T, made once. Safe to call from any thread.
+/// Returns the schema of T, which is built once. Thread-safe.
 template <typename T>
 std::string const& schemaOf() {
-  static std::string const text = SchemaText::of<T>();
+  static std::string const text = SchemaBuilder::of<T>();
   return text;
 }
 
-/// The bytes of a record, without its schema.
+/// Encodes a record, without its schema.
 template <typename T>
 std::string pack(T const& value) {
-  Writer writer(schemaOf<T>());
+  RecordWriter writer(schemaOf<T>());
   Packer packer(writer);
   packer.write(value);
   return writer.finish();
 }
 
-/// Reads a record that was written under `writtenBy`. InvalidArgument if it is malformed.
+/// Decodes a record that was written under the schema `writerSchema`. InvalidArgument if it is malformed.
 template <typename T>
-absl::StatusOr<T> unpack(std::string_view bytes, std::string const& writtenBy = schemaOf<T>()) {
-  Source source(writtenBy, bytes);
+absl::StatusOr<T> unpack(std::string_view bytes, std::string const& writerSchema = schemaOf<T>()) {
+  RecordReader reader(writerSchema, bytes);
   T value{};
-  if (source.good()) {
-    Unpacker unpacker(source);
+  if (reader.good()) {
+    Unpacker unpacker(reader);
     unpacker.read(value);
   }
-  if (!source.good()) {
+  if (!reader.good()) {
     return absl::InvalidArgumentError(std::string("not a ") + T::name);
   }
   return value;
--- a/libs/messages/include/limeramp/messages/forwarding.h
+++ b/libs/messages/include/limeramp/messages/forwarding.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-/// A caller's request on its way to another node, and its answer.
+/// Messages that forward a caller's request to another node and return its answer.
 namespace limeramp::messages {
 
 /// One header of a forwarded request or answer.
@@ -21,7 +21,8 @@
   }
 };
 
-/// A caller's request on its way to a node that owns the tenant. Travels without a schema: its fields never change.
+/// A caller's request, forwarded to a node of the cell that owns the tenant. Sent without a schema, so its fields must
+/// never change.
 struct ForwardRequest {
   static constexpr char const* name = "Carry";
   std::uint64_t remainingMs = 0;
@@ -39,7 +40,7 @@
   }
 };
 
-/// The answer to a ForwardRequest. Travels without a schema: its fields never change.
+/// The answer to a ForwardRequest. Sent without a schema, so its fields must never change.
 struct ForwardReply {
   static constexpr char const* name = "Carried";
   std::uint64_t status = 0;
--- a/libs/messages/include/limeramp/messages/membership.h
+++ b/libs/messages/include/limeramp/messages/membership.h
@@ -6,15 +6,14 @@
 #include <string>
 #include <vector>
 
-/// Messages by which processes find one another: partial views of the fleet, exchanged between neighbours.
+/// Messages by which processes discover one another: they exchange samples of their partial views of the fleet.
 namespace limeramp::messages {
 
-/// Values of Peer::role. Nodes of earlier versions send and expect exactly these words, so they outlive renames in the
-/// code.
+/// Values of Peer::role. Nodes of earlier versions send and expect exactly these words, so they must not change.
 constexpr char const* gatewayRole = "quay";
 constexpr char const* controllerRole = "harbourmaster";
 
-/// One process of the fleet as others know it: an entry of a partial view.
+/// An entry of a partial view: one process of the fleet as others know it.
 struct Peer {
   static constexpr char const* name = "Peer";
   std::string node;
@@ -34,7 +33,7 @@
   }
 };
 
-/// Two processes exchange samples of their partial views (see distribution/peer_views.h).
+/// A sample of the sender's partial view, answered with one of the receiver's (see distribution/peer_views.h).
 struct Shuffle {
   static constexpr char const* name = "Shuffle";
   bool reply = false;
--- a/libs/messages/include/limeramp/messages/messages.h
+++ b/libs/messages/include/limeramp/messages/messages.h
@@ -14,20 +14,20 @@
 #include <string_view>
 #include <variant>
 
-/// All messages between the processes of a fleet, and the envelope in which they travel.
+/// All messages between the processes of a fleet, and the envelope in which they are sent.
 ///
-/// Each message is one Avro record; `describe` names its fields once for schema, writing and reading. The names in
-/// quotes are part of the protocol: neighbouring versions read each other by them, so they outlive renames in the code.
+/// Each message is one Avro record; `describe` lists its fields for schema, encoding and decoding. The quoted names are
+/// part of the protocol: neighbouring versions match each other's fields by them, so they must not change.
 namespace limeramp::messages {
 
-/// The version of the envelope. A process leaves out envelopes of another one.
+/// Version of the envelope. A process ignores envelopes of any other version.
 constexpr std::int64_t protocol = 1;
 
-/// Any message between two processes. Order and number of the kinds may change: a message is known by its name.
+/// Any message between two processes. Types may be added or reordered, since a message is identified by its name.
 using Message = std::variant<Shuffle, Prepare, PrepareResponse, Accept, AcceptResponse, Heartbeat, Sync, Synced,
                              StateRequest, StateResponse, TableRequest, TableResponse, StateUpdate>;
 
-/// What travels between two processes: the message, packed, with what is needed to read it.
+/// An encoded message with its sender and what the receiver needs to decode it.
 struct Envelope {
   static constexpr char const* name = "Envelope";
   std::int64_t protocol = messages::protocol;
@@ -49,7 +49,7 @@
   }
 };
 
-/// A message with its sender, as it is before it is packed and after it was read.
+/// A message with its sender, before encoding and after decoding.
 struct PeerMessage {
   std::string fleet;
   std::string from;
@@ -57,13 +57,13 @@
   Message message;
 };
 
-/// Packs a message. Its schema goes along with the first ones of each kind and with some later ones; otherwise the
-/// kind names the schema by digest. Safe to call from any thread.
-std::string encodeEnvelope(PeerMessage const& received);
+/// Encodes a message. The first messages of each kind and some of the later ones carry their schema; the others name it
+/// by digest in `kind`. Thread-safe.
+std::string encodeEnvelope(PeerMessage const& outgoing);
 
-/// Reads what encodeEnvelope made, also by a neighbouring version. DataLoss: damaged on the way; Unimplemented: another
-/// protocol or an unknown kind; Unavailable: its schema has not arrived yet, a later message brings it;
-/// InvalidArgument: malformed. Safe to call from any thread.
+/// Decodes an envelope of this or a neighbouring version. DataLoss: damaged in transit; Unimplemented: another protocol
+/// version or an unknown kind; Unavailable: its schema has not arrived yet, but a later message will carry it;
+/// InvalidArgument: malformed. Thread-safe.
 absl::StatusOr<PeerMessage> decodeEnvelope(std::string_view bytes);
 
 }  // namespace limeramp::messages
--- a/libs/messages/include/limeramp/messages/replication.h
+++ b/libs/messages/include/limeramp/messages/replication.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-/// Messages between controllers: heartbeats, the ballots that decide an epoch, and the replication of the state.
+/// Messages between controllers: heartbeats, the Paxos ballots that decide an epoch, and replication of the state.
 namespace limeramp::messages {
 
-/// Orders the attempts to decide one epoch: by round, then by the proposer, so that no two proposers share one.
+/// Orders the attempts to decide one epoch: by round, then by proposer, so that no two proposers share a ballot.
 struct Ballot {
   static constexpr char const* name = "Ballot";
   std::uint64_t round = 0;
@@ -24,7 +24,7 @@
   }
 };
 
-/// The members of one epoch. Decided once by a majority of the witnesses of the epoch before; never changed afterwards.
+/// The members of one epoch. Decided once, by a majority of the previous epoch's witnesses; never changed afterwards.
 struct EpochRecord {
   static constexpr char const* name = "EpochRecord";
   std::uint64_t epoch = 0;
@@ -48,7 +48,7 @@
   }
 };
 
-/// Phase 1a of Paxos: asks a witness to promise that it takes part in no lower ballot for the epoch after `decided`.
+/// Paxos phase 1a: asks a witness to promise to take part in no lower ballot for the epoch after `decided`.
 struct Prepare {
   static constexpr char const* name = "Prepare";
   EpochRecord decided;
@@ -60,7 +60,7 @@
   }
 };
 
-/// Phase 1b. Granted or not, it names the ballot promised and the record accepted last, with that record's ballot.
+/// Paxos phase 1b. Granted or not, it carries the promised ballot and the last accepted record with its ballot.
 struct PrepareResponse {
   static constexpr char const* name = "Promise";
   std::uint64_t nextEpoch = 0;
@@ -80,7 +80,7 @@
   }
 };
 
-/// Phase 2a: asks a witness to accept `record` as the epoch after `decided`.
+/// Paxos phase 2a: asks a witness to accept `record` as the epoch after `decided`.
 struct Accept {
   static constexpr char const* name = "Accept";
   EpochRecord decided;
@@ -94,7 +94,7 @@
   }
 };
 
-/// Phase 2b. Sent only after the acceptance is on the witness's disk.
+/// Paxos phase 2b. Sent only after the acceptance is synced to the witness's disk.
 struct AcceptResponse {
   static constexpr char const* name = "Accepted";
   std::uint64_t nextEpoch = 0;
@@ -110,8 +110,8 @@
   }
 };
 
-/// Sent by every controller to every other. It carries the failure detector, the leadership confirmation (`token` is
-/// echoed back as `echoed`) and news of later epochs.
+/// Sent by every controller to every other. Feeds the failure detector, confirms leadership (the receiver returns
+/// `token` as `echoed`) and spreads later epochs.
 struct Heartbeat {
   static constexpr char const* name = "Hail";
   EpochRecord decided;
@@ -119,7 +119,7 @@
   std::uint64_t echoed = 0;
   bool unhealthy = false;
   std::uint64_t epoch = 0;
-  /// The highest epoch whose record the sender has synced to its disk; 0 from versions that do not say it.
+  /// The highest epoch whose record the sender has synced to its disk; 0 from versions without this field.
   std::uint64_t storedEpoch = 0;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
@@ -132,7 +132,8 @@
   }
 };
 
-/// Hands a replica the state of the primary (or, `fenced`, of a proposer of the next epoch), to be synced to its disk.
+/// Sends a replica the state of the primary, or with `fenced` that of a proposer of the next epoch, to sync to its
+/// disk.
 struct Sync {
   static constexpr char const* name = "Sync";
   EpochRecord decided;
@@ -148,7 +149,7 @@
   }
 };
 
-/// The state under `token` is on the replica's disk.
+/// Acknowledges a Sync: the state sent under `token` is on the replica's disk.
 struct Synced {
   static constexpr char const* name = "Synced";
   std::uint64_t epoch = 0;
--- a/libs/messages/include/limeramp/messages/service_tables.h
+++ b/libs/messages/include/limeramp/messages/service_tables.h
@@ -6,10 +6,11 @@
 #include <string>
 #include <vector>
 
-/// Messages that hand the servers of each service from the reader of the platform's list to the nodes of a zone.
+/// Messages that distribute the servers of each service from the node that reads the platform's list to its zone.
 namespace limeramp::messages {
 
-/// One server of a service, as the platform's list shows it; times are ages, so that no two clocks are compared.
+/// One server of a service, as in the platform's list. Times are relative, so that clocks of two machines are never
+/// compared.
 struct TableRow {
   static constexpr char const* name = "TableRow";
   std::string address;
@@ -33,7 +34,7 @@
   }
 };
 
-/// The servers of one service, or only the digest that names them where `complete` is false.
+/// The servers of one service; only their digest if `complete` is false.
 struct Table {
   static constexpr char const* name = "Table";
   std::string service;
@@ -49,7 +50,7 @@
   }
 };
 
-/// Asks the owner of services in a zone for their tables; `have` names the digests that the sender holds.
+/// Asks the owner of services in a zone for their tables; `have` lists the digests of the sender's tables.
 struct TableRequest {
   static constexpr char const* name = "TablePoll";
   std::string node;
@@ -63,7 +64,7 @@
   }
 };
 
-/// The tables that differ from those that were named, the others by digest only.
+/// Answers a TableRequest: complete tables if they differ from the sender's, otherwise digests. Also pushed.
 struct TableResponse {
   static constexpr char const* name = "TableNews";
   std::string node;
--- a/libs/messages/include/limeramp/messages/state.h
+++ b/libs/messages/include/limeramp/messages/state.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-/// The replicated state and its versions. The same records stand on the controllers' disks.
+/// The replicated state and its versions. Controllers store the same records on disk.
 namespace limeramp::messages {
 
-/// One node that shares the fleet's duties. `slot` numbers its share of the retry budget.
+/// One node of the roster, which shares the fleet's duties. `slot` is the number of its share of the retry budget.
 struct RosterEntry {
   static constexpr char const* name = "RosterEntry";
   std::string node;
@@ -27,10 +27,10 @@
   }
 };
 
-/// Whether the roster has a node of this name, at whatever address.
+/// Whether the roster has a node of this name, at any address.
 bool isListed(std::vector<RosterEntry> const& roster, std::string const& node);
 
-/// Remembers one order that was carried out, so that its repetition is recognised by every later primary.
+/// Records one change that was applied, so that every later primary recognises a repetition of it.
 struct Receipt {
   static constexpr char const* name = "Receipt";
   std::string change;
@@ -49,17 +49,17 @@
   }
 };
 
-/// Orders replicated states: first by the epoch whose primary wrote them, then by their sequence within it. Versions
-/// are unique: one primary leads an epoch, and it numbers its changes without gaps.
+/// Orders replicated states: by the epoch whose primary wrote them, then by their sequence within it. Versions are
+/// unique, since an epoch has one primary, which numbers its changes without gaps.
 struct StateVersion {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
   auto operator<=>(StateVersion const&) const = default;
 };
 
-/// All that the controllers replicate: the configuration, the roster, evacuated zones and the receipts of orders.
-/// Invariant: `epoch`, `sequence` is its version; the configuration and the roster keep the version that last changed
-/// them.
+/// The state that the controllers replicate: the configuration, the roster, evacuated zones and receipts of changes.
+/// Invariant: `epoch` and `sequence` are the state's version; configuration and roster carry the version that last
+/// changed them.
 struct State {
   static constexpr char const* name = "State";
   std::uint64_t epoch = 0;
@@ -77,7 +77,7 @@
   std::uint64_t forgottenEpoch = 0;
   std::uint64_t forgottenSequence = 0;
   std::uint64_t forgottenRevision = 0;
-  /// The version of the whole state.
+  /// Version of the whole state.
   StateVersion version() const { return {epoch, sequence}; }
   bool operator==(State const&) const = default;
   template <typename V, typename T>
@@ -100,7 +100,7 @@
   }
 };
 
-/// The versions of the parts of a State that change apart from each other.
+/// The versions of the parts of a State that change independently.
 struct PartVersions {
   static constexpr char const* name = "PartVersions";
   std::uint64_t configurationEpoch = 0;
--- a/libs/messages/include/limeramp/messages/state_delivery.h
+++ b/libs/messages/include/limeramp/messages/state_delivery.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-/// Messages that bring the state from the primary to every node and the confirmations back.
+/// Messages that deliver the state from the primary to every node and return the nodes' confirmations.
 namespace limeramp::messages {
 
 /// A node and the version of the state that it has in force.
@@ -28,7 +28,7 @@
   }
 };
 
-/// Records that `node` runs as the start `boot`. A record of a higher rank overrules those of the same node below it.
+/// States that incarnation `boot` of `node` is running. A record of higher rank overrides lower ones of the same node.
 struct IncarnationRecord {
   static constexpr char const* name = "Vouch";
   std::string node;
@@ -42,7 +42,7 @@
   }
 };
 
-/// What a node says of itself beside its version: its start, and whether it is shutting down.
+/// What a node reports of itself besides its version: its incarnation, and whether it is draining.
 struct PeerStatus {
   static constexpr char const* name = "Bearing";
   std::string node;
@@ -58,7 +58,7 @@
   }
 };
 
-/// A node asks for the newest state and says which it has.
+/// Asks for the newest state and reports which one the sender has.
 struct StateRequest {
   static constexpr char const* name = "Poll";
   std::uint64_t token = 0;
@@ -66,11 +66,11 @@
   std::vector<Follower> followers;
   std::vector<PeerStatus> peerStatuses;
   bool recover = false;
-  /// Absent from nodes that know no StateUpdate; they are sent the whole State in News.
+  /// Absent from nodes that do not know StateUpdate; they are sent the whole State in a StateResponse.
   std::optional<PartVersions> parts;
-  /// False: the node asks which version is known, and wants neither the state nor later pushes.
+  /// False: the sender only asks which version is known and wants neither the state nor pushes.
   bool follows = true;
-  /// Names the sender's incarnation records; 0 from nodes that always send them all.
+  /// Digest of the sender's incarnation records; 0 from nodes that always send all of them.
   std::uint64_t incarnationsDigest = 0;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
@@ -85,8 +85,8 @@
   }
 };
 
-/// Answers a StateRequest, or is pushed with token 0. It names the newest version that the sender knows. `hasAge`: the
-/// sender knew that version to be the newest `ageMs` before it sent this.
+/// Answers a StateRequest, or is pushed with token 0. Names the newest version that the sender knows. `hasAge`: that
+/// version was confirmed as the newest `ageMs` before sending.
 struct StateResponse {
   static constexpr char const* name = "News";
   std::uint64_t token = 0;
@@ -100,7 +100,7 @@
   std::string primaryAddress;
   std::uint64_t boot = 0;
   std::vector<IncarnationRecord> incarnations;
-  /// Names the sender's incarnation records; 0 from nodes that always send them all.
+  /// Digest of the sender's incarnation records; 0 from nodes that always send all of them.
   std::uint64_t incarnationsDigest = 0;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
@@ -119,7 +119,7 @@
   }
 };
 
-/// What turns one roster into another.
+/// The difference between two rosters: the nodes removed, and the entries added or changed.
 struct RosterDifference {
   static constexpr char const* name = "RosterDifference";
   std::vector<std::string> removed;
@@ -131,21 +131,22 @@
   }
 };
 
-/// Brings a follower to the state that `news` names: the parts it lacks, and nothing that only replicas need.
+/// Brings a follower to the state that `response` names. Holds the parts that the follower lacks, and nothing that only
+/// replicas need.
 struct StateUpdate {
   static constexpr char const* name = "StateUpdate";
   StateResponse response;
   std::uint64_t revision = 0;
   std::vector<std::string> evacuatedZones;
-  /// The versions of the parts of the new state.
+  /// Versions of the parts of the new state.
   PartVersions parts;
-  /// Absent if the follower named the configuration of the new state.
+  /// Absent if the follower already has the configuration of the new state.
   std::optional<std::string> document;
-  /// The roster that `roster` builds on; 0, 0 is the empty one.
+  /// Version of the roster that `roster` is a difference to; 0, 0 is the empty one.
   std::uint64_t rosterBaseEpoch = 0;
   std::uint64_t rosterBaseSequence = 0;
   RosterDifference roster;
-  /// From the new roster back to the one before it.
+  /// The difference from the new roster back to the previous one.
   RosterDifference priorRoster;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
--- a/libs/messages/include/limeramp/messages/state_digest.h
+++ b/libs/messages/include/limeramp/messages/state_digest.h
@@ -15,18 +15,18 @@
 
 namespace limeramp::messages {
 
-/// Folds the fields of a state machine into one 64-bit hash, so that a model checker can tell visited states apart.
-/// Lengths are folded in as well: no two sequences of fields give the same bytes. The hash is stable within one run of
-/// one program and is never stored or sent.
+/// Hashes the fields of a state machine to 64 bits, so that a model checker can tell visited states apart. Lengths are
+/// hashed as well, so that no two sequences of fields give the same bytes. The hash is stable within one run of one
+/// program and is never stored or sent.
 class StateDigest {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
 
-  /// Times are folded in as differences from now. Differences beyond the horizon count as the horizon: the caller names
-  /// one beyond which its state machine makes no distinction.
+  /// Times are hashed as differences from `now`. Differences beyond `horizon` count as the horizon: the state machine
+  /// must make no distinction beyond it.
   StateDigest(TimePoint now, std::chrono::microseconds horizon) : now_(now), horizon_(horizon) {}
 
-  /// Folds a value in; containers with their length, records by their fields.
+  /// Adds a value: containers with their length, records by their fields.
   void add(std::string const& value) {
     add(value.size());
     bytes_ += value;
@@ -83,16 +83,16 @@
     add(static_cast<std::int64_t>(std::clamp(age, -horizon_, horizon_).count()));
   }
 
-  /// A time that matters only while it lies ahead.
+  /// Adds a time that matters only while it is in the future.
   void addDeadline(TimePoint at) { add(std::max(at, now_)); }
 
-  /// Visits a described record.
+  /// Visitor of `describe`.
   template <typename T>
   void operator()(char const*, T const& value) {
     add(value);
   }
 
-  /// The hash of all that was added.
+  /// Returns the hash of all added values.
   std::uint64_t finish() const;
 
  private:
--- a/libs/messages/src/codec.cpp
+++ b/libs/messages/src/codec.cpp
@@ -9,28 +9,30 @@
 namespace limeramp::messages {
 namespace {
 
-struct Kind {
-  Kind() = default;
-  Kind(Kind const&) = delete;
-  Kind& operator=(Kind const&) = delete;
-  ~Kind() {
-    if (face != nullptr) {
-      avro_value_iface_decref(face);
+// A parsed schema and libavro's class for its values.
+struct ParsedSchema {
+  ParsedSchema() = default;
+  ParsedSchema(ParsedSchema const&) = delete;
+  ParsedSchema& operator=(ParsedSchema const&) = delete;
+  ~ParsedSchema() {
+    if (valueClass != nullptr) {
+      avro_value_iface_decref(valueClass);
     }
     if (schema != nullptr) {
       avro_schema_decref(schema);
     }
   }
   avro_schema_t schema = nullptr;
-  avro_value_iface_t* face = nullptr;
+  avro_value_iface_t* valueClass = nullptr;
 };
 
 constexpr std::size_t maxItems = 100'000;
 constexpr std::size_t maxSchemaBytes = 16'384;
 constexpr std::size_t maxSchemaParts = 2'000;
 constexpr std::size_t maxSchemaDepth = 16;
-constexpr std::size_t maxKinds = 256;
+constexpr std::size_t maxParsedSchemas = 256;
 
+// Whether the schema has only the types used here and stays within the bounds on depth and size.
 bool isBounded(avro_schema_t schema, std::size_t depth, std::size_t& parts) {
   if (depth > maxSchemaDepth || ++parts > maxSchemaParts) {
     return false;
@@ -62,13 +64,13 @@
   }
 }
 
-bool skimNumber(std::string_view& left, std::int64_t& value) {
+bool readVarint(std::string_view& remaining, std::int64_t& value) {
   std::uint64_t raw = 0;
-  for (std::size_t place = 0; place < 10 && place < left.size(); ++place) {
-    std::uint64_t const byte = static_cast<unsigned char>(left[place]);
-    raw |= (byte & 0x7f) << (7 * place);
+  for (std::size_t byteIndex = 0; byteIndex < 10 && byteIndex < remaining.size(); ++byteIndex) {
+    std::uint64_t const byte = static_cast<unsigned char>(remaining[byteIndex]);
+    raw |= (byte & 0x7f) << (7 * byteIndex);
     if (byte < 0x80) {
-      left.remove_prefix(place + 1);
+      remaining.remove_prefix(byteIndex + 1);
       value = static_cast<std::int64_t>(raw >> 1) ^ -static_cast<std::int64_t>(raw & 1);
       return true;
     }
@@ -76,25 +78,25 @@
   return false;
 }
 
-bool skimBytes(std::string_view& left, std::int64_t count) {
-  if (count < 0 || static_cast<std::uint64_t>(count) > left.size()) {
+bool skipBytes(std::string_view& remaining, std::int64_t count) {
+  if (count < 0 || static_cast<std::uint64_t>(count) > remaining.size()) {
     return false;
   }
-  left.remove_prefix(static_cast<std::size_t>(count));
+  remaining.remove_prefix(static_cast<std::size_t>(count));
   return true;
 }
 
-bool fits(avro_schema_t schema, std::string_view& left, std::size_t& items);
+bool matchesSchema(avro_schema_t schema, std::string_view& remaining, std::size_t& items);
 
-// An array is a series of blocks, each with its number of items; a block of none ends it.
-bool fitsArray(avro_schema_t schema, std::string_view& left, std::size_t& items) {
+// An array is a series of blocks, each preceded by its number of items. A block of 0 items ends it.
+bool matchesArray(avro_schema_t schema, std::string_view& remaining, std::size_t& items) {
   std::int64_t number = 0;
-  while (skimNumber(left, number) && number >= 0) {
+  while (readVarint(remaining, number) && number >= 0) {
     if (number == 0) {
       return true;
     }
     for (; number > 0; --number) {
-      if (++items > maxItems || !fits(avro_schema_array_items(schema), left, items)) {
+      if (++items > maxItems || !matchesSchema(avro_schema_array_items(schema), remaining, items)) {
         return false;
       }
     }
@@ -102,113 +104,114 @@
   return false;
 }
 
-bool fitsRecord(avro_schema_t schema, std::string_view& left, std::size_t& items) {
+bool matchesRecord(avro_schema_t schema, std::string_view& remaining, std::size_t& items) {
   for (std::size_t index = 0; index < avro_schema_record_size(schema); ++index) {
-    if (!fits(avro_schema_record_field_get_by_index(schema, static_cast<int>(index)), left, items)) {
+    if (!matchesSchema(avro_schema_record_field_get_by_index(schema, static_cast<int>(index)), remaining, items)) {
       return false;
     }
   }
   return true;
 }
 
-// Whether the bytes are a value of the schema. libavro takes lengths as they come, negative ones too.
-bool fits(avro_schema_t schema, std::string_view& left, std::size_t& items) {
+// Whether the bytes are a value of the schema. Needed since libavro does not check lengths, not even negative ones.
+bool matchesSchema(avro_schema_t schema, std::string_view& remaining, std::size_t& items) {
   std::int64_t number = 0;
   switch (avro_typeof(schema)) {
     case AVRO_BOOLEAN:
-      return !left.empty() && (left[0] == 0 || left[0] == 1) && skimBytes(left, 1);
+      return !remaining.empty() && (remaining[0] == 0 || remaining[0] == 1) && skipBytes(remaining, 1);
     case AVRO_INT64:
-      return skimNumber(left, number);
+      return readVarint(remaining, number);
     case AVRO_DOUBLE:
-      return skimBytes(left, sizeof(double));
+      return skipBytes(remaining, sizeof(double));
     case AVRO_BYTES:
-      return skimNumber(left, number) && skimBytes(left, number);
+      return readVarint(remaining, number) && skipBytes(remaining, number);
     case AVRO_LINK:
-      return fits(avro_schema_link_target(schema), left, items);
+      return matchesSchema(avro_schema_link_target(schema), remaining, items);
     case AVRO_ARRAY:
-      return fitsArray(schema, left, items);
+      return matchesArray(schema, remaining, items);
     case AVRO_UNION:
-      return skimNumber(left, number) &&
-             (number == 0 || (number == 1 && fits(avro_schema_union_branch(schema, 1), left, items)));
+      return readVarint(remaining, number) &&
+             (number == 0 || (number == 1 && matchesSchema(avro_schema_union_branch(schema, 1), remaining, items)));
     case AVRO_RECORD:
-      return fitsRecord(schema, left, items);
+      return matchesRecord(schema, remaining, items);
     default:
       return false;
   }
 }
 
-Kind const& kindOf(std::string const& schema) {
-  thread_local std::map<std::string, Kind> kinds;
-  std::map<std::string, Kind>::iterator const found = kinds.find(schema);
-  if (found != kinds.end()) {
+// Parses a schema, or returns it from the thread's cache. `valueClass` is null if the schema is refused.
+ParsedSchema const& parsedSchemaOf(std::string const& schema) {
+  thread_local std::map<std::string, ParsedSchema> parsedSchemas;
+  std::map<std::string, ParsedSchema>::iterator const found = parsedSchemas.find(schema);
+  if (found != parsedSchemas.end()) {
     return found->second;
   }
-  if (kinds.size() >= maxKinds) {
-    kinds.clear();
+  if (parsedSchemas.size() >= maxParsedSchemas) {
+    parsedSchemas.clear();
   }
-  Kind& kind = kinds[schema];
+  ParsedSchema& parsed = parsedSchemas[schema];
   std::size_t parts = 0;
   avro_schema_t read = nullptr;
   if (schema.size() > maxSchemaBytes || avro_schema_from_json_length(schema.data(), schema.size(), &read) != 0) {
-    return kind;
+    return parsed;
   }
-  kind.schema = read;
-  if (is_avro_record(kind.schema) && isBounded(kind.schema, 0, parts)) {
-    kind.face = avro_generic_class_from_schema(kind.schema);
+  parsed.schema = read;
+  if (is_avro_record(parsed.schema) && isBounded(parsed.schema, 0, parts)) {
+    parsed.valueClass = avro_generic_class_from_schema(parsed.schema);
   }
-  return kind;
+  return parsed;
 }
 
 }  // namespace
 
 std::string withChecksum(std::string const& bytes) {
-  std::uint64_t const separator = XXH64(bytes.data(), bytes.size(), 0);
-  std::string out(sizeof separator, '\0');
-  std::memcpy(out.data(), &separator, sizeof separator);
+  std::uint64_t const checksum = XXH64(bytes.data(), bytes.size(), 0);
+  std::string out(sizeof checksum, '\0');
+  std::memcpy(out.data(), &checksum, sizeof checksum);
   return out + bytes;
 }
 
 std::optional<std::string_view> verifyChecksum(std::string_view bytes) {
-  std::uint64_t separator = 0;
-  if (bytes.size() < sizeof separator) {
+  std::uint64_t checksum = 0;
+  if (bytes.size() < sizeof checksum) {
     return std::nullopt;
   }
-  std::memcpy(&separator, bytes.data(), sizeof separator);
-  bytes.remove_prefix(sizeof separator);
-  return separator == XXH64(bytes.data(), bytes.size(), 0) ? std::optional<std::string_view>(bytes) : std::nullopt;
+  std::memcpy(&checksum, bytes.data(), sizeof checksum);
+  bytes.remove_prefix(sizeof checksum);
+  return checksum == XXH64(bytes.data(), bytes.size(), 0) ? std::optional<std::string_view>(bytes) : std::nullopt;
 }
 
-struct Writer::Impl {
+struct RecordWriter::Impl {
   avro_value_t root{};
   std::vector<avro_value_t> path;
   bool good = false;
 };
 
-Writer::Writer(std::string const& schema) : impl_(std::make_unique<Impl>()) {
-  Kind const& kind = kindOf(schema);
-  impl_->good = kind.face != nullptr && avro_generic_value_new(kind.face, &impl_->root) == 0;
+RecordWriter::RecordWriter(std::string const& schema) : impl_(std::make_unique<Impl>()) {
+  ParsedSchema const& parsed = parsedSchemaOf(schema);
+  impl_->good = parsed.valueClass != nullptr && avro_generic_value_new(parsed.valueClass, &impl_->root) == 0;
   impl_->path.push_back(impl_->root);
 }
 
-Writer::~Writer() {
+RecordWriter::~RecordWriter() {
   if (impl_->good) {
     avro_value_decref(&impl_->root);
   }
 }
 
-void Writer::enter(char const* name) {
+void RecordWriter::enter(char const* name) {
   avro_value_t field{};
   avro_value_get_by_name(&impl_->path.back(), name, &field, nullptr);
   impl_->path.push_back(field);
 }
 
-void Writer::append() {
+void RecordWriter::append() {
   avro_value_t item{};
   avro_value_append(&impl_->path.back(), &item, nullptr);
   impl_->path.push_back(item);
 }
 
-void Writer::branch(int which) {
+void RecordWriter::branch(int which) {
   avro_value_t inner{};
   avro_value_set_branch(&impl_->path.back(), which, &inner);
   if (which == 0) {
@@ -217,15 +220,15 @@
   impl_->path.push_back(inner);
 }
 
-void Writer::leave() { impl_->path.pop_back(); }
-void Writer::put(std::int64_t value) { avro_value_set_long(&impl_->path.back(), value); }
-void Writer::put(bool value) { avro_value_set_boolean(&impl_->path.back(), value ? 1 : 0); }
-void Writer::put(double value) { avro_value_set_double(&impl_->path.back(), value); }
-void Writer::put(std::string const& value) {
+void RecordWriter::leave() { impl_->path.pop_back(); }
+void RecordWriter::put(std::int64_t value) { avro_value_set_long(&impl_->path.back(), value); }
+void RecordWriter::put(bool value) { avro_value_set_boolean(&impl_->path.back(), value ? 1 : 0); }
+void RecordWriter::put(double value) { avro_value_set_double(&impl_->path.back(), value); }
+void RecordWriter::put(std::string const& value) {
   avro_value_set_bytes(&impl_->path.back(), const_cast<char*>(value.data()), value.size());
 }
 
-std::string Writer::finish() {
+std::string RecordWriter::finish() {
   std::size_t size = 0;
   if (!impl_->good || avro_value_sizeof(&impl_->root, &size) != 0) {
     return {};
@@ -237,22 +240,22 @@
   return written ? out : std::string();
 }
 
-struct Source::Impl {
+struct RecordReader::Impl {
   avro_value_t root{};
   std::vector<avro_value_t> path;
-  bool made = false;
+  bool allocated = false;
   bool good = false;
 };
 
-Source::Source(std::string const& schema, std::string_view bytes) : impl_(std::make_unique<Impl>()) {
-  Kind const& kind = kindOf(schema);
-  impl_->made = kind.face != nullptr && avro_generic_value_new(kind.face, &impl_->root) == 0;
-  if (!impl_->made) {
+RecordReader::RecordReader(std::string const& schema, std::string_view bytes) : impl_(std::make_unique<Impl>()) {
+  ParsedSchema const& parsed = parsedSchemaOf(schema);
+  impl_->allocated = parsed.valueClass != nullptr && avro_generic_value_new(parsed.valueClass, &impl_->root) == 0;
+  if (!impl_->allocated) {
     return;
   }
-  std::string_view left = bytes;
+  std::string_view remaining = bytes;
   std::size_t items = 0;
-  if (!fits(kind.schema, left, items)) {
+  if (!matchesSchema(parsed.schema, remaining, items)) {
     return;
   }
   avro_reader_t const reader = avro_reader_memory(bytes.data(), static_cast<std::int64_t>(bytes.size()));
@@ -261,16 +264,16 @@
   impl_->path.push_back(impl_->root);
 }
 
-Source::~Source() {
-  if (impl_->made) {
+RecordReader::~RecordReader() {
+  if (impl_->allocated) {
     avro_value_decref(&impl_->root);
   }
 }
 
-bool Source::good() const { return impl_->good; }
-void Source::invalidate() { impl_->good = false; }
+bool RecordReader::good() const { return impl_->good; }
+void RecordReader::invalidate() { impl_->good = false; }
 
-bool Source::has(char const* name) {
+bool RecordReader::has(char const* name) {
   impl_->good = impl_->good && avro_value_get_type(&impl_->path.back()) == AVRO_RECORD;
   if (!impl_->good) {
     return false;
@@ -285,7 +288,7 @@
   return false;
 }
 
-bool Source::enter(char const* name) {
+bool RecordReader::enter(char const* name) {
   avro_value_t field{};
   if (!impl_->good || avro_value_get_by_name(&impl_->path.back(), name, &field, nullptr) != 0) {
     impl_->good = false;
@@ -295,7 +298,7 @@
   return true;
 }
 
-std::size_t Source::count() {
+std::size_t RecordReader::count() {
   std::size_t size = 0;
   if (!impl_->good || avro_value_get_size(&impl_->path.back(), &size) != 0 || size > maxItems) {
     impl_->good = false;
@@ -304,7 +307,7 @@
   return size;
 }
 
-bool Source::item(std::size_t index) {
+bool RecordReader::item(std::size_t index) {
   avro_value_t entry{};
   if (!impl_->good || avro_value_get_by_index(&impl_->path.back(), index, &entry, nullptr) != 0) {
     impl_->good = false;
@@ -314,7 +317,7 @@
   return true;
 }
 
-int Source::branch() {
+int RecordReader::branch() {
   int which = 0;
   avro_value_t inner{};
   if (avro_value_get_discriminant(&impl_->path.back(), &which) != 0 ||
@@ -325,23 +328,23 @@
   return impl_->good ? which : 0;
 }
 
-void Source::leave() { impl_->path.pop_back(); }
+void RecordReader::leave() { impl_->path.pop_back(); }
 
-void Source::get(std::int64_t& value) {
+void RecordReader::get(std::int64_t& value) {
   impl_->good = impl_->good && avro_value_get_long(&impl_->path.back(), &value) == 0;
 }
 
-void Source::get(bool& value) {
+void RecordReader::get(bool& value) {
   int number = 0;
   impl_->good = impl_->good && avro_value_get_boolean(&impl_->path.back(), &number) == 0;
   value = number != 0;
 }
 
-void Source::get(double& value) {
+void RecordReader::get(double& value) {
   impl_->good = impl_->good && avro_value_get_double(&impl_->path.back(), &value) == 0;
 }
 
-void Source::get(std::string& value) {
+void RecordReader::get(std::string& value) {
   void const* bytes = nullptr;
   std::size_t size = 0;
   if (!impl_->good || avro_value_get_bytes(&impl_->path.back(), &bytes, &size) != 0) {
--- a/libs/messages/src/messages.cpp
+++ b/libs/messages/src/messages.cpp
@@ -11,9 +11,9 @@
 namespace limeramp::messages {
 namespace {
 
-constexpr std::uint64_t schemaAlwaysSentFirst = 32;
-constexpr std::uint64_t schemaSentOneIn = 16;
-constexpr std::size_t maxSchemas = 256;
+constexpr std::uint64_t firstMessagesWithSchema = 32;
+constexpr std::uint64_t schemaInterval = 16;
+constexpr std::size_t maxPeerSchemas = 256;
 
 std::string digestOf(std::string const& schema) {
   std::array<char, 20> text{};
@@ -23,60 +23,64 @@
 }
 
 template <typename Kind>
-std::string const& digestOfKind() {
+std::string const& schemaDigestOf() {
   static std::string const digest = digestOf(schemaOf<Kind>());
   return digest;
 }
 
+// Whether the next message of the kind carries its schema. Counts the messages of all threads.
 template <typename Kind>
-bool carriesSchema() {
+bool nextCarriesSchema() {
   static std::atomic<std::uint64_t> sent = 0;
   std::uint64_t const number = sent++;
-  return number < schemaAlwaysSentFirst || XXH64(&number, sizeof number, 0) % schemaSentOneIn == 0;
+  return number < firstMessagesWithSchema || XXH64(&number, sizeof number, 0) % schemaInterval == 0;
 }
 
-std::mutex schemasMutex;
-std::map<std::string, std::string> schemas;
+// Schemas received from peers, by digest.
+std::mutex peerSchemasMutex;
+std::map<std::string, std::string> peerSchemas;
 
-void remember(std::string const& schema) {
-  std::unique_lock<std::mutex> const lock(schemasMutex);
-  if (schemas.size() < maxSchemas) {
-    schemas.emplace(digestOf(schema), schema);
+void storeSchema(std::string const& schema) {
+  std::unique_lock<std::mutex> const lock(peerSchemasMutex);
+  if (peerSchemas.size() < maxPeerSchemas) {
+    peerSchemas.emplace(digestOf(schema), schema);
   }
 }
 
-std::optional<std::string> recall(std::string const& digest) {
-  std::unique_lock<std::mutex> const lock(schemasMutex);
-  std::map<std::string, std::string>::const_iterator const found = schemas.find(digest);
-  return found == schemas.end() ? std::nullopt : std::optional<std::string>(found->second);
+std::optional<std::string> findSchema(std::string const& digest) {
+  std::unique_lock<std::mutex> const lock(peerSchemasMutex);
+  std::map<std::string, std::string>::const_iterator const found = peerSchemas.find(digest);
+  return found == peerSchemas.end() ? std::nullopt : std::optional<std::string>(found->second);
 }
 
-std::string const absentTail(64, '\0');
+// Fields added since the first version are absent from its records; zero bytes at the end read as their empty values.
+std::string const absentFields(64, '\0');
 
+// Decodes a record of the first version, which sent no schemas.
 template <typename T>
-absl::StatusOr<T> unpackFirstKind(std::string_view bytes) {
-  return unpack<T>(std::string(bytes) + absentTail);
+absl::StatusOr<T> unpackFirstVersion(std::string_view bytes) {
+  return unpack<T>(std::string(bytes) + absentFields);
 }
 
 template <std::size_t Index>
-absl::StatusOr<Message> open(std::string const& kind, std::string const& body, std::string const& schema) {
+absl::StatusOr<Message> unpackMessage(std::string const& kind, std::string const& body, std::string const& schema) {
   if constexpr (Index == std::variant_size_v<Message>) {
     return absl::UnimplementedError("unknown kind " + kind.substr(0, 40));
   } else {
     using Kind = std::variant_alternative_t<Index, Message>;
     std::size_t const separator = kind.find('#');
     if (kind.substr(0, separator) != Kind::name) {
-      return open<Index + 1>(kind, body, schema);
+      return unpackMessage<Index + 1>(kind, body, schema);
     }
-    if (separator != std::string::npos && kind.substr(separator + 1) != digestOfKind<Kind>()) {
-      std::optional<std::string> const known = recall(kind.substr(separator + 1));
-      return known ? open<Index>(Kind::name, body, *known) : absl::UnavailableError("a schema not heard yet");
+    if (separator != std::string::npos && kind.substr(separator + 1) != schemaDigestOf<Kind>()) {
+      std::optional<std::string> const known = findSchema(kind.substr(separator + 1));
+      return known ? unpackMessage<Index>(Kind::name, body, *known) : absl::UnavailableError("a schema not heard yet");
     }
     absl::StatusOr<Kind> value = separator != std::string::npos ? unpack<Kind>(body)
-                                 : schema.empty()               ? unpackFirstKind<Kind>(body)
+                                 : schema.empty()               ? unpackFirstVersion<Kind>(body)
                                                                 : unpack<Kind>(body, schema);
     if (value.ok() && !schema.empty() && schema != schemaOf<Kind>()) {
-      remember(schema);
+      storeSchema(schema);
     }
     if (!value.ok()) {
       return value.status();
@@ -87,20 +91,20 @@
 
 }  // namespace
 
-std::string encodeEnvelope(PeerMessage const& received) {
+std::string encodeEnvelope(PeerMessage const& outgoing) {
   Envelope envelope;
-  envelope.fleet = received.fleet;
-  envelope.from = received.from;
-  envelope.address = received.address;
+  envelope.fleet = outgoing.fleet;
+  envelope.from = outgoing.from;
+  envelope.address = outgoing.address;
   std::visit(
       [&](auto const& message) {
         using Kind = std::decay_t<decltype(message)>;
-        bool const withSchema = carriesSchema<Kind>();
-        envelope.kind = withSchema ? std::string(Kind::name) : std::string(Kind::name) + "#" + digestOfKind<Kind>();
+        bool const withSchema = nextCarriesSchema<Kind>();
+        envelope.kind = withSchema ? std::string(Kind::name) : std::string(Kind::name) + "#" + schemaDigestOf<Kind>();
         envelope.body = pack(message);
         envelope.schema = withSchema ? schemaOf<Kind>() : "";
       },
-      received.message);
+      outgoing.message);
   return withChecksum(pack(envelope));
 }
 
@@ -111,7 +115,7 @@
   }
   absl::StatusOr<Envelope> envelope = unpack<Envelope>(*payload);
   if (!envelope.ok()) {
-    envelope = unpackFirstKind<Envelope>(*payload);
+    envelope = unpackFirstVersion<Envelope>(*payload);
   }
   if (!envelope.ok()) {
     return envelope.status();
@@ -119,7 +123,7 @@
   if (envelope->protocol != protocol) {
     return absl::UnimplementedError("protocol " + std::to_string(envelope->protocol));
   }
-  absl::StatusOr<Message> message = open<0>(envelope->kind, envelope->body, envelope->schema);
+  absl::StatusOr<Message> message = unpackMessage<0>(envelope->kind, envelope->body, envelope->schema);
   if (!message.ok()) {
     return message.status();
   }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace limeramp::config;
 
-std::string const good = R"({
+std::string const validDocument = R"({
   "services": {"p0": {"capacity": 20}, "p1": {}, "logs": {}},
   "searches": {"packages": {"tenant": "kelaniya", "prefix": "/packages", "result_size": 5, "minimum_shards": 1,
     "shards": [{"service": "p0", "cut": "c1"}, {"service": "p1", "cut": "c1"}]}},
@@ -15,13 +15,13 @@
   "cells": {"north": {"tenants": ["kelaniya"], "nodes": ["m01"]}}})";
 
 std::vector<Problem> problemsOf(std::string const& patch) {
-  picojson::value const document = mergePatch(*parseJson(good), *parseJson(patch));
+  picojson::value const document = mergePatch(*parseJson(validDocument), *parseJson(patch));
   CheckedConfiguration const checked = checkConfiguration(document);
   EXPECT_EQ(checked.configuration.has_value(), checked.problems.empty());
   return checked.problems;
 }
 
-TEST(Json, RefusesWhatPicojsonAloneLetsPass) {
+TEST(Json, RefusesDuplicateKeysTrailingTextInfiniteNumbersAndExcessiveSize) {
   EXPECT_FALSE(parseJson(R"({"a":{"b":1,"b":2}})").ok());
   EXPECT_EQ(parseJson(R"({"a":{"b":1,"b":2}})").status().message(), "/a/b: key given twice");
   EXPECT_FALSE(parseJson("{} x").ok());
@@ -32,20 +32,20 @@
   EXPECT_TRUE(parseJson(" [1,2,3] \n").ok());
 }
 
-TEST(MergePatch, FollowsTheExamplesOfTheStandard) {
+TEST(MergePatch, GivesTheResultsOfTheExamplesInRfc7386) {
   std::vector<std::array<std::string, 3>> const cases{{R"({"a":"b"})", R"({"a":"c"})", R"({"a":"c"})"},
                                                       {R"({"a":"b","b":"c"})", R"({"a":null})", R"({"b":"c"})"},
                                                       {R"({"a":[1]})", R"({"a":{"b":null,"c":1}})", R"({"a":{"c":1}})"},
                                                       {R"([1,2])", R"({"a":"b","c":null})", R"({"a":"b"})"},
                                                       {R"({"e":null})", R"({"a":1})", R"({"a":1,"e":null})"},
                                                       {R"({})", R"({"a":{"bb":{"ccc":null}}})", R"({"a":{"bb":{}}})"}};
-  for (std::array<std::string, 3> const& one : cases) {
-    EXPECT_EQ(mergePatch(*parseJson(one[0]), *parseJson(one[1])).serialize(), one[2]);
+  for (std::array<std::string, 3> const& example : cases) {
+    EXPECT_EQ(mergePatch(*parseJson(example[0]), *parseJson(example[1])).serialize(), example[2]);
   }
 }
 
-TEST(Configuration, TakesTheGoodOneAndFindsTheLongestPrefix) {
-  CheckedConfiguration const checked = checkConfiguration(*parseJson(good));
+TEST(Configuration, AcceptsAValidDocumentAndFindsTheLongestPrefix) {
+  CheckedConfiguration const checked = checkConfiguration(*parseJson(validDocument));
   ASSERT_TRUE(checked.configuration.has_value());
   Configuration const& configuration = *checked.configuration;
   EXPECT_TRUE(std::holds_alternative<Search const*>(findTarget(configuration, "", "kelaniya", "/packages/zlib")));
@@ -55,7 +55,7 @@
   EXPECT_TRUE(std::holds_alternative<std::monostate>(findTarget(configuration, "", "kiln", "/packages")));
 }
 
-TEST(Configuration, NamesThePathOfEachError) {
+TEST(Configuration, ReportsThePathOfEachProblem) {
   EXPECT_EQ(problemsOf(R"({"searches":{"packages":{"minimum_shards":3}}})").at(0).path,
             "/searches/packages/minimum_shards");
   EXPECT_EQ(problemsOf(R"({"routes":{"logs":{"service":"gone"}}})").at(0).path, "/routes/logs/service");
@@ -76,21 +76,21 @@
   EXPECT_TRUE(problemsOf("{}").empty());
 }
 
-TEST(Version, ReadsOnlyWhatItWrites) {
+TEST(Version, ParsesOnlyTheFormThatTextGives) {
   EXPECT_EQ(Version::parse("3.14"), (Version{3, 14}));
   EXPECT_EQ((Version{3, 14}).text(), "3.14");
-  for (char const* const bad : {"", "3", "3.", ".4", "3.4x", "-1.2", "3.4.5", "99999999999999999999.1"}) {
-    EXPECT_FALSE(Version::parse(bad).has_value()) << bad;
+  for (char const* const malformed : {"", "3", "3.", ".4", "3.4x", "-1.2", "3.4.5", "99999999999999999999.1"}) {
+    EXPECT_FALSE(Version::parse(malformed).has_value()) << malformed;
   }
 }
 
-TEST(Settings, NamesEachProblem) {
+TEST(Settings, ReportsEachProblem) {
   std::string const text = R"({"node":"m01","listen":"127.0.0.1:7000","zone":"z1","seeds":["127.0.0.1:7000"]})";
   EXPECT_TRUE(checkSettings(*parseJson(text), {}).settings.has_value());
-  CheckedSettings const needy = checkSettings(*parseJson(text), {true, true});
-  ASSERT_EQ(needy.problems.size(), 2u);
-  EXPECT_EQ(needy.problems[0].path, "/platform");
-  EXPECT_EQ(needy.problems[1].path, "/data");
+  CheckedSettings const withoutRequired = checkSettings(*parseJson(text), {true, true});
+  ASSERT_EQ(withoutRequired.problems.size(), 2u);
+  EXPECT_EQ(withoutRequired.problems[0].path, "/platform");
+  EXPECT_EQ(withoutRequired.problems[1].path, "/data");
   for (char const* const patch :
        {R"({"listen":"localhost:70"})", R"({"listen":"1.2.3.4:70000"})", R"({"seeds":[]})", R"({"seeds":["1.2.3:4"]})",
         R"({"log_level":"loud"})", R"({"hands":0})", R"({"nod":1})"}) {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -17,9 +17,9 @@
 struct Node {
   std::optional<ServerDirectory> directory;
   std::string address;
-  bool up = true;
-  bool readsList = true;
-  simulator::TimePoint readsSince{};
+  bool running = true;
+  bool canReadList = true;
+  simulator::TimePoint startedAt{};
 };
 
 struct Zone {
@@ -35,10 +35,10 @@
   std::vector<Node> nodes;
   std::set<std::string> services;
   List list;
-  std::size_t reads = 0;
+  std::size_t listReads = 0;
   std::size_t pageRows = 0;
-  bool overRate = false;
-  std::vector<simulator::TimePoint> readAt;
+  bool rateLimited = false;
+  std::vector<simulator::TimePoint> readTimes;
   std::size_t changes = 0;
 
   List pageOf(std::string const& token) const {
@@ -64,15 +64,15 @@
   void start(std::size_t index) {
     Node& node = nodes[index];
     node.directory.emplace(ServerDirectoryOptions{}, "m" + std::to_string(index), node.address, "z1");
-    node.up = true;
-    node.readsSince = network.now();
-    tick(index, ++lives[index]);
+    node.running = true;
+    node.startedAt = network.now();
+    tick(index, ++incarnations[index]);
   }
 
-  std::map<std::size_t, std::uint64_t> lives;
+  std::map<std::size_t, std::uint64_t> incarnations;
 
   void tick(std::size_t index, std::uint64_t incarnation) {
-    if (!nodes[index].up || lives[index] != incarnation) {
+    if (!nodes[index].running || incarnations[index] != incarnation) {
       return;
     }
     ZoneView zoneView;
@@ -80,11 +80,12 @@
     for (Node const& node : nodes) {
       zoneView.zoneAddresses.push_back(node.address);
     }
-    follow(index, nodes[index].directory->tick(network.now(), zoneView));
+    perform(index, nodes[index].directory->tick(network.now(), zoneView));
     network.after(Ms(20), [this, index, incarnation] { tick(index, incarnation); });
   }
 
-  void follow(std::size_t index, DirectoryStep const& step) {
+  /// Delivers the messages of a step with random delays and reads the list page that it asks for.
+  void perform(std::size_t index, DirectoryStep const& step) {
     changes += step.changed.size();
     for (distribution::Outgoing const& outgoing : step.sends) {
       for (std::size_t to = 0; to < nodes.size(); ++to) {
@@ -93,37 +94,37 @@
         }
         messages::Message const message = outgoing.message;
         network.after(std::chrono::microseconds(200 + network.roll(3000)), [this, index, to, message] {
-          if (!nodes[to].up) {
+          if (!nodes[to].running) {
             return;
           }
           if (messages::TableRequest const* const poll = std::get_if<messages::TableRequest>(&message)) {
-            follow(to, nodes[to].directory->onMessage(network.now(), nodes[index].address, *poll));
+            perform(to, nodes[to].directory->onMessage(network.now(), nodes[index].address, *poll));
           } else {
-            follow(to, nodes[to].directory->onMessage(network.now(), nodes[index].address,
-                                                      std::get<messages::TableResponse>(message)));
+            perform(to, nodes[to].directory->onMessage(network.now(), nodes[index].address,
+                                                       std::get<messages::TableResponse>(message)));
           }
         });
       }
     }
     if (step.readList) {
-      ++reads;
-      readAt.push_back(network.now());
-      std::uint64_t const incarnation = lives[index];
+      ++listReads;
+      readTimes.push_back(network.now());
+      std::uint64_t const incarnation = incarnations[index];
       std::string const page = step.page;
       network.after(Ms(5 + static_cast<long>(network.roll(40))), [this, index, incarnation, page] {
-        if (!nodes[index].up || lives[index] != incarnation) {
+        if (!nodes[index].running || incarnations[index] != incarnation) {
           return;
         }
-        if (nodes[index].readsList && !overRate) {
-          follow(index, nodes[index].directory->onListPage(network.now(), pageOf(page)));
+        if (nodes[index].canReadList && !rateLimited) {
+          perform(index, nodes[index].directory->onListPage(network.now(), pageOf(page)));
         } else {
-          nodes[index].directory->listFailed(network.now(), overRate);
+          nodes[index].directory->listFailed(network.now(), rateLimited);
         }
       });
     }
   }
 
-  void put(std::string const& service, dispatch::ServerEndpoint const& row) {
+  void addRow(std::string const& service, dispatch::ServerEndpoint const& row) {
     list.services[service].push_back(row);
     ++list.rows;
   }
@@ -139,132 +140,133 @@
   return row;
 }
 
-TEST(ServerDirectory, ADepartureShowsEverywhereInTimeWhileHomesDieAndListsFail) {
+TEST(ServerDirectory, DrainingReachesAllNodesInTimeWhileOwnersDieAndListReadsFail) {
   Ms worst{0};
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     Zone zone(seed, 4);
-    zone.put("a", rowAt("s1"));
-    zone.put("a", rowAt("s2"));
+    zone.addRow("a", rowAt("s1"));
+    zone.addRow("a", rowAt("s2"));
     zone.run(Ms(3000));
     for (std::size_t index = 0; index < 4; ++index) {
       if (zone.network.chance(0.4)) {
-        zone.nodes[index].readsList = false;
+        zone.nodes[index].canReadList = false;
       }
     }
-    zone.nodes[zone.network.roll(4)].readsList = true;
+    zone.nodes[zone.network.roll(4)].canReadList = true;
     zone.run(Ms(static_cast<long>(zone.network.roll(6000))));
-    std::size_t const victim = zone.network.roll(4);
+    std::size_t const stopped = zone.network.roll(4);
     if (zone.network.chance(0.5)) {
-      zone.nodes[victim].up = false;
+      zone.nodes[stopped].running = false;
     }
     zone.list.services["a"][0].draining = true;
-    simulator::TimePoint const shown = zone.network.now();
-    std::vector<bool> seen(4, false);
+    simulator::TimePoint const drainingSince = zone.network.now();
+    std::vector<bool> sawDraining(4, false);
     for (int round = 0; round < 150; ++round) {
       zone.run(Ms(20));
       for (std::size_t index = 0; index < 4; ++index) {
         std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].directory->rows(zone.network.now(), "a");
-        if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].draining) {
-          seen[index] = true;
-          worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - shown));
+        if (!sawDraining[index] && zone.nodes[index].running && rows.size() == 2 && rows[0].draining) {
+          sawDraining[index] = true;
+          worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - drainingSince));
         }
       }
     }
     for (std::size_t index = 0; index < 4; ++index) {
-      EXPECT_TRUE(seen[index] || !zone.nodes[index].up || !zone.nodes[index].readsList) << seed << " node " << index;
+      EXPECT_TRUE(sawDraining[index] || !zone.nodes[index].running || !zone.nodes[index].canReadList)
+          << seed << " node " << index;
     }
   }
-  std::printf("seeds 1 to 60: a departure shows after %ld ms at most\n", static_cast<long>(worst.count()));
+  std::printf("seeds 1 to 60: draining is seen after %ld ms at most\n", static_cast<long>(worst.count()));
   EXPECT_LE(worst, Ms(2900));
 }
 
-TEST(ServerDirectory, OfAZoneThatStartsTogetherFewReadTheListBeforeTheyKnowTheirServices) {
+TEST(ServerDirectory, FewNodesOfAStartingZoneReadTheListBeforeTheyKnowTheirServices) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Zone zone(seed, 25, {});
-    zone.put("a", rowAt("s1"));
+    zone.addRow("a", rowAt("s1"));
     zone.run(Ms(900));
-    EXPECT_GE(zone.reads, 1u) << seed;
-    EXPECT_LE(zone.reads, 5u) << seed;
+    EXPECT_GE(zone.listReads, 1u) << seed;
+    EXPECT_LE(zone.listReads, 5u) << seed;
     zone.services = {"a", "b"};
     zone.run(Ms(400));
     for (Node const& node : zone.nodes) {
       EXPECT_EQ(node.directory->rows(zone.network.now(), "a").size(), 1u) << seed;
     }
-    EXPECT_LE(zone.reads, 10u) << seed;
+    EXPECT_LE(zone.listReads, 10u) << seed;
   }
 }
 
-TEST(ServerDirectory, ADepartureShowsInTimeWhenTheReaderDiesAtThatMoment) {
+TEST(ServerDirectory, DrainingReachesAllNodesInTimeWhenTheOwnerDiesAtThatMoment) {
   Ms worst{0};
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Zone zone(seed, 3 + seed % 6);
-    zone.put("a", rowAt("s1"));
-    zone.put("a", rowAt("s2"));
+    zone.addRow("a", rowAt("s1"));
+    zone.addRow("a", rowAt("s2"));
     zone.run(Ms(4000 + static_cast<long>(zone.network.roll(1000))));
     std::vector<std::string> addresses;
     for (Node const& node : zone.nodes) {
       addresses.push_back(node.address);
     }
-    std::string const reader = distribution::rankByRendezvousHash("list/z1", addresses).front();
-    Ms const diesMs(static_cast<long>(zone.network.roll(800)));
-    zone.network.after(diesMs, [&] {
+    std::string const owner = distribution::rankByRendezvousHash("list/z1", addresses).front();
+    Ms const stopsAfterMs(static_cast<long>(zone.network.roll(800)));
+    zone.network.after(stopsAfterMs, [&] {
       for (Node& node : zone.nodes) {
-        node.up = node.up && node.address != reader;
+        node.running = node.running && node.address != owner;
       }
     });
     zone.run(Ms(400));
     zone.list.services["a"][0].draining = true;
-    simulator::TimePoint const shown = zone.network.now();
-    std::vector<bool> seen(zone.nodes.size(), false);
+    simulator::TimePoint const drainingSince = zone.network.now();
+    std::vector<bool> sawDraining(zone.nodes.size(), false);
     for (int round = 0; round < 300; ++round) {
       zone.run(Ms(10));
       for (std::size_t index = 0; index < zone.nodes.size(); ++index) {
         std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[index].directory->rows(zone.network.now(), "a");
-        if (!seen[index] && zone.nodes[index].up && rows.size() == 2 && rows[0].draining) {
-          seen[index] = true;
-          worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - shown));
+        if (!sawDraining[index] && zone.nodes[index].running && rows.size() == 2 && rows[0].draining) {
+          sawDraining[index] = true;
+          worst = std::max(worst, std::chrono::duration_cast<Ms>(zone.network.now() - drainingSince));
         }
       }
     }
     for (std::size_t index = 0; index < zone.nodes.size(); ++index) {
-      EXPECT_TRUE(seen[index] || !zone.nodes[index].up) << seed << " node " << index;
+      EXPECT_TRUE(sawDraining[index] || !zone.nodes[index].running) << seed << " node " << index;
     }
   }
-  std::printf("seeds 1 to 200: a departure shows after %ld ms at most\n", static_cast<long>(worst.count()));
+  std::printf("seeds 1 to 200: draining is seen after %ld ms at most\n", static_cast<long>(worst.count()));
   EXPECT_LE(worst, Ms(2000));
 }
 
-TEST(ServerDirectory, AListInPagesCountsOnceItsLastPageIsInAndARowBetweenPagesIsNotLostAtOnce) {
+TEST(ServerDirectory, PagedListAppliesAfterItsLastPageAndKeepsAMissingRowForOneMoreRead) {
   for (std::size_t const pageRows : {1u, 2u, 3u, 7u}) {
     Zone zone(pageRows, 3);
     zone.pageRows = pageRows;
     for (int number = 0; number < 5; ++number) {
-      zone.put("a", rowAt("s" + std::to_string(number)));
+      zone.addRow("a", rowAt("s" + std::to_string(number)));
     }
-    zone.put("b", rowAt("t"));
+    zone.addRow("b", rowAt("t"));
     zone.run(Ms(8000));
     for (Node const& node : zone.nodes) {
       EXPECT_EQ(node.directory->rows(zone.network.now(), "a").size(), 5u);
       EXPECT_EQ(node.directory->rows(zone.network.now(), "b").size(), 1u);
     }
     zone.list.services["a"].erase(zone.list.services["a"].begin());
-    bool lost = false;
-    bool gone = false;
+    bool missing = false;
+    bool removed = false;
     for (int round = 0; round < 400; ++round) {
       zone.run(Ms(20));
       std::vector<dispatch::ServerEndpoint> const rows = zone.nodes[0].directory->rows(zone.network.now(), "a");
-      lost = lost || rows.size() < 4;
-      gone = rows.size() == 4 &&
-             std::none_of(rows.begin(), rows.end(), [](dispatch::ServerEndpoint const& row) { return row.draining; });
+      missing = missing || rows.size() < 4;
+      removed = rows.size() == 4 && std::none_of(rows.begin(), rows.end(),
+                                                 [](dispatch::ServerEndpoint const& row) { return row.draining; });
     }
-    EXPECT_FALSE(lost) << pageRows;
-    EXPECT_TRUE(gone) << pageRows;
+    EXPECT_FALSE(missing) << pageRows;
+    EXPECT_TRUE(removed) << pageRows;
   }
 }
 
-TEST(ServerDirectory, ColdTimeThatRunsDownIsNoNewsButItsBeginningItsRiseAndItsEndAre) {
+TEST(ServerDirectory, WarmupStartExtensionAndEndAreChangesButItsRunningDownIsNot) {
   Zone zone(8, 3);
-  zone.put("a", rowAt("s1"));
+  zone.addRow("a", rowAt("s1"));
   zone.run(Ms(4000));
   std::size_t before = zone.changes;
   dispatch::ServerEndpoint& row = zone.list.services["a"][0];
@@ -298,29 +300,29 @@
   }
 }
 
-TEST(ServerDirectory, RefusedForTheRateAReaderBacksOffAndComesBack) {
+TEST(ServerDirectory, RateLimitedReaderBacksOffAndResumes) {
   Zone zone(9, 8);
-  zone.put("a", rowAt("s1"));
+  zone.addRow("a", rowAt("s1"));
   zone.run(Ms(4000));
-  zone.overRate = true;
+  zone.rateLimited = true;
   zone.run(Ms(4000));
-  zone.readAt.clear();
+  zone.readTimes.clear();
   zone.run(Ms(10'000));
-  EXPECT_LE(zone.readAt.size(), 8u * 10'000 / 1600 + 8);
-  zone.overRate = false;
+  EXPECT_LE(zone.readTimes.size(), 8u * 10'000 / 1600 + 8);
+  zone.rateLimited = false;
   zone.list.services["a"][0].draining = true;
   zone.run(Ms(3000));
   for (Node const& node : zone.nodes) {
     EXPECT_TRUE(node.directory->rows(zone.network.now(), "a")[0].draining);
   }
   zone.run(Ms(5000));
-  zone.readAt.clear();
+  zone.readTimes.clear();
   zone.run(Ms(10'000));
-  EXPECT_LE(zone.readAt.size(), 10'000u / 400 + 2);
-  EXPECT_GE(zone.readAt.size(), 10'000u / 400 - 4);
+  EXPECT_LE(zone.readTimes.size(), 10'000u / 400 + 2);
+  EXPECT_GE(zone.readTimes.size(), 10'000u / 400 - 4);
 }
 
-TEST(ServerDirectory, TheOwnListNamesLivesColdTimeAndTheNextPage) {
+TEST(ServerDirectory, NativeListCarriesIncarnationWarmupAndNextPage) {
   absl::StatusOr<List> const list = readList(
       R"({"servers":[{"address":"127.0.0.1:1","service":"a","zone":"z","capacity":3,"life":"l1","cold_ms":250}],"next_page":"x"})");
   ASSERT_TRUE(list.ok());
@@ -330,13 +332,13 @@
   EXPECT_TRUE(readList(R"({"servers":[],"next_page":null})")->nextPage.empty());
 }
 
-TEST(ServerDirectory, ARowThatChangesServiceOrZoneMovesWholeAndIsFreshInItsNewPlace) {
+TEST(ServerDirectory, RowThatChangesServiceMovesWithAgeZeroAndRowThatChangesZoneKeepsItsAge) {
   Zone zone(3, 3);
-  zone.put("a", rowAt("s1"));
-  zone.put("b", rowAt("s2"));
+  zone.addRow("a", rowAt("s1"));
+  zone.addRow("b", rowAt("s2"));
   zone.run(Ms(60'000));
   zone.list.services["a"].clear();
-  zone.put("b", rowAt("s1"));
+  zone.addRow("b", rowAt("s1"));
   zone.list.services["b"][0].zone = "z2";
   zone.list.services["b"][0].capacity = 25;
   zone.run(Ms(3000));
@@ -351,16 +353,16 @@
   }
 }
 
-TEST(ServerDirectory, ANodeThatRestartsLearnsTheAgesAndOneHomeReadsForAll) {
+TEST(ServerDirectory, RestartedNodeLearnsServerAgesAndOneOwnerReadsTheList) {
   Zone zone(4, 4);
-  zone.put("a", rowAt("s1"));
-  zone.put("b", rowAt("s2"));
+  zone.addRow("a", rowAt("s1"));
+  zone.addRow("b", rowAt("s2"));
   zone.run(Ms(30'000));
-  std::size_t const before = zone.reads;
+  std::size_t const before = zone.listReads;
   zone.run(Ms(10'000));
-  EXPECT_LE(zone.reads - before, 2u * 10'000 / 400 + 4);
+  EXPECT_LE(zone.listReads - before, 2u * 10'000 / 400 + 4);
   for (std::size_t index = 0; index < 4; ++index) {
-    zone.nodes[index].up = false;
+    zone.nodes[index].running = false;
     zone.run(Ms(500));
     zone.start(index);
     zone.run(Ms(4000));
@@ -371,9 +373,9 @@
   }
 }
 
-TEST(ServerDirectory, AListThatTurnsEmptyAtOnceIsHeldForAWhileAndThenBelieved) {
+TEST(ServerDirectory, ListThatTurnsEmptyTakesEffectOnlyAfterADelay) {
   Zone zone(5, 2);
-  zone.put("a", rowAt("s1"));
+  zone.addRow("a", rowAt("s1"));
   zone.run(Ms(3000));
   zone.list = List{};
   zone.run(Ms(8000));
--- a/tests/messages_test.cpp
+++ b/tests/messages_test.cpp
@@ -17,14 +17,14 @@
   return {"fleet", "a", "127.0.0.1:9", sync};
 }
 
-TEST(Messages, MessagesComeBackWhole) {
-  PeerMessage const received = sample();
-  absl::StatusOr<PeerMessage> const back = decodeEnvelope(encodeEnvelope(received));
-  ASSERT_TRUE(back.ok()) << back.status();
-  EXPECT_EQ(back->from, "a");
-  Sync const& sync = std::get<Sync>(back->message);
-  EXPECT_EQ(sync.decided, std::get<Sync>(received.message).decided);
-  EXPECT_EQ(sync.state, std::get<Sync>(received.message).state);
+TEST(Messages, MessagesAreUnchangedByEncodingAndDecoding) {
+  PeerMessage const outgoing = sample();
+  absl::StatusOr<PeerMessage> const decoded = decodeEnvelope(encodeEnvelope(outgoing));
+  ASSERT_TRUE(decoded.ok()) << decoded.status();
+  EXPECT_EQ(decoded->from, "a");
+  Sync const& sync = std::get<Sync>(decoded->message);
+  EXPECT_EQ(sync.decided, std::get<Sync>(outgoing.message).decided);
+  EXPECT_EQ(sync.state, std::get<Sync>(outgoing.message).state);
   StateResponse response;
   response.state = State{};
   response.state->sequence = 12;
@@ -33,7 +33,7 @@
   EXPECT_EQ(std::get<StateResponse>(second->message).state->sequence, 12u);
 }
 
-struct Older {
+struct OlderFollower {
   static constexpr char const* name = "Follower";
   std::string node;
   std::string address;
@@ -48,10 +48,10 @@
   }
 };
 
-struct OlderPoll {
+struct OlderStateRequest {
   static constexpr char const* name = "Poll";
-  std::vector<Older> followers;
-  Older self;
+  std::vector<OlderFollower> followers;
+  OlderFollower self;
   std::uint64_t token = 0;
   template <typename V, typename T>
   static void describe(V& visit, T& self) {
@@ -61,7 +61,7 @@
   }
 };
 
-struct FirstEnvelope {
+struct FirstVersionEnvelope {
   static constexpr char const* name = "Envelope";
   std::int64_t protocol = limeramp::messages::protocol;
   std::string fleet;
@@ -89,42 +89,43 @@
   return envelope;
 }
 
-TEST(Versions, FieldsAddedRemovedOrMovedAreResolvedByName) {
-  OlderPoll older;
+TEST(Versions, AddedRemovedAndMovedFieldsAreResolvedByName) {
+  OlderStateRequest older;
   older.token = 7;
   older.self = {"m01", "127.0.0.1:1", 3, true};
   older.followers = {{"m02", "127.0.0.1:2", 4, false}, {"m03", "127.0.0.1:3", 5, true}};
-  absl::StatusOr<PeerMessage> const back =
-      decodeEnvelope(withChecksum(pack(envelopeOf("Poll", pack(older), schemaOf<OlderPoll>()))));
-  ASSERT_TRUE(back.ok()) << back.status();
-  StateRequest const& poll = std::get<StateRequest>(back->message);
-  EXPECT_EQ(poll.token, 7u);
-  EXPECT_EQ(poll.self.address, "127.0.0.1:1");
-  EXPECT_EQ(poll.self.zone, "");
-  ASSERT_EQ(poll.followers.size(), 2u);
-  EXPECT_EQ(poll.followers[1].node, "m03");
-  EXPECT_EQ(poll.followers[1].epoch, 5u);
-  absl::StatusOr<OlderPoll> const reverse = unpack<OlderPoll>(pack(poll), schemaOf<StateRequest>());
-  ASSERT_TRUE(reverse.ok());
-  EXPECT_EQ(reverse->followers[0].address, "127.0.0.1:2");
-  EXPECT_FALSE(reverse->self.gone);
+  absl::StatusOr<PeerMessage> const decoded =
+      decodeEnvelope(withChecksum(pack(envelopeOf("Poll", pack(older), schemaOf<OlderStateRequest>()))));
+  ASSERT_TRUE(decoded.ok()) << decoded.status();
+  StateRequest const& request = std::get<StateRequest>(decoded->message);
+  EXPECT_EQ(request.token, 7u);
+  EXPECT_EQ(request.self.address, "127.0.0.1:1");
+  EXPECT_EQ(request.self.zone, "");
+  ASSERT_EQ(request.followers.size(), 2u);
+  EXPECT_EQ(request.followers[1].node, "m03");
+  EXPECT_EQ(request.followers[1].epoch, 5u);
+  absl::StatusOr<OlderStateRequest> const readByOlder =
+      unpack<OlderStateRequest>(pack(request), schemaOf<StateRequest>());
+  ASSERT_TRUE(readByOlder.ok());
+  EXPECT_EQ(readByOlder->followers[0].address, "127.0.0.1:2");
+  EXPECT_FALSE(readByOlder->self.gone);
 }
 
-TEST(Versions, AnEnvelopeFromBeforeSchemasWereSentIsRead) {
+TEST(Versions, EnvelopeOfTheFirstVersionWithoutSchemaIsRead) {
   Heartbeat heartbeat;
   heartbeat.token = 41;
   heartbeat.unhealthy = true;
-  FirstEnvelope first;
+  FirstVersionEnvelope first;
   first.fleet = "f";
   first.kind = "Hail";
   first.body = pack(heartbeat);
-  absl::StatusOr<PeerMessage> const back = decodeEnvelope(withChecksum(pack(first)));
-  ASSERT_TRUE(back.ok()) << back.status();
-  EXPECT_EQ(std::get<Heartbeat>(back->message).token, 41u);
-  EXPECT_TRUE(std::get<Heartbeat>(back->message).unhealthy);
+  absl::StatusOr<PeerMessage> const decoded = decodeEnvelope(withChecksum(pack(first)));
+  ASSERT_TRUE(decoded.ok()) << decoded.status();
+  EXPECT_EQ(std::get<Heartbeat>(decoded->message).token, 41u);
+  EXPECT_TRUE(std::get<Heartbeat>(decoded->message).unhealthy);
 }
 
-TEST(Versions, SchemasThatDoNotFitOrHaveNoBoundAreRefused) {
+TEST(Versions, MismatchedAndUnboundedSchemasAreRefused) {
   std::string nested = "\"long\"";
   for (int depth = 0; depth < 40; ++depth) {
     nested.insert(0, "{\"type\":\"array\",\"items\":").append("}");
@@ -145,42 +146,42 @@
   }
 }
 
-TEST(Messages, BytesThatDoNotFitTheirSchemaAreRefusedWithoutTheChecksumToo) {
-  std::string const whole = pack(std::get<Sync>(sample().message));
+TEST(Messages, BytesThatViolateTheirSchemaAreRefusedWithoutAChecksum) {
+  std::string const intact = pack(std::get<Sync>(sample().message));
   std::mt19937_64 random(12);
   std::size_t refused = 0;
   for (int round = 0; round < 20'000; ++round) {
-    std::string spoilt = whole;
+    std::string corrupted = intact;
     for (std::uint64_t left = 1 + random() % 3; left > 0; --left) {
-      spoilt[random() % spoilt.size()] = static_cast<char>(random() % 256);
+      corrupted[random() % corrupted.size()] = static_cast<char>(random() % 256);
     }
-    refused += unpack<Sync>(spoilt).ok() ? 0 : 1;
+    refused += unpack<Sync>(corrupted).ok() ? 0 : 1;
   }
   EXPECT_GT(refused, 5'000u);
   EXPECT_LT(refused, 19'900u);
 }
 
-TEST(Messages, SpoiltBytesAreRefusedAndNeverCrash) {
-  std::string const whole = encodeEnvelope(sample());
-  for (std::size_t length = 0; length < whole.size(); ++length) {
-    EXPECT_FALSE(decodeEnvelope(std::string_view(whole).substr(0, length)).ok()) << length;
+TEST(Messages, CorruptedBytesAreRefusedWithoutACrash) {
+  std::string const intact = encodeEnvelope(sample());
+  for (std::size_t length = 0; length < intact.size(); ++length) {
+    EXPECT_FALSE(decodeEnvelope(std::string_view(intact).substr(0, length)).ok()) << length;
   }
   std::mt19937_64 random(11);
   std::size_t refused = 0;
   for (int round = 0; round < 20'000; ++round) {
-    std::string spoilt = whole;
+    std::string corrupted = intact;
     for (std::uint64_t left = 1 + random() % 4; left > 0; --left) {
-      spoilt[random() % spoilt.size()] ^= static_cast<char>(1 + random() % 255);
+      corrupted[random() % corrupted.size()] ^= static_cast<char>(1 + random() % 255);
     }
-    if (spoilt == whole) {
-      spoilt.pop_back();
+    if (corrupted == intact) {
+      corrupted.pop_back();
     }
-    refused += decodeEnvelope(spoilt).ok() ? 0 : 1;
+    refused += decodeEnvelope(corrupted).ok() ? 0 : 1;
   }
   EXPECT_EQ(refused, 20'000u);
 }
 
-TEST(Codec, AnEpochRecordWithOneBackupIsReadFromItsOldSchema) {
+TEST(Codec, EpochRecordWithOneBackupIsReadFromItsFormerSchema) {
   std::string const schema =
       R"({"type":"record","name":"EpochRecord","fields":[{"name":"epoch","type":"long"},{"name":"fleet","type":"bytes"},)"
       R"({"name":"primary","type":"bytes"},{"name":"backup","type":"bytes"},)"
--- a/tests/settings_update_test.cpp
+++ b/tests/settings_update_test.cpp
@@ -25,7 +25,7 @@
   return settings;
 }
 
-/// A settings file whose text is one seed; any other text is not usable.
+/// A settings file that holds one seed address, which must begin with "10."; any other text is invalid.
 class SeedFile {
  public:
   explicit SeedFile(std::string const& seed) { write(seed); }
@@ -33,7 +33,7 @@
   SeedFile(SeedFile const&) = delete;
   SeedFile& operator=(SeedFile const&) = delete;
 
-  /// Replaces the file by another one, as a rename does, so that it differs whatever the clock says.
+  /// Replaces the file by a rename, so that the change is detected even if the modification time is the same.
   void write(std::string const& seed) const {
     std::ofstream(path + ".next") << seed;
     std::filesystem::rename(path + ".next", path);
@@ -59,24 +59,24 @@
   int reads = 0;
 };
 
-TEST(SettingsUpdate, WhatCanChangeInPlaceIsAppliedAndTheRestIsNamed) {
+TEST(SettingsUpdate, ChangeableSettingsAreAppliedAndTheOthersWaitForARestart) {
   config::Settings const inForce = settingsWithSeeds({"10.0.0.1:1"});
-  config::Settings readAnew = inForce;
-  readAnew.seeds = {"10.0.0.2:1", "10.0.0.3:1"};
-  readAnew.platform = "10.0.0.9:1";
-  readAnew.listMs = Ms(900);
-  readAnew.listPageMs = Ms(90);
-  readAnew.maxConnections = 77;
-  readAnew.extraSlack = 5;
-  readAnew.extraRatio = 0.5;
-  readAnew.graceMs = Ms(1000);
-  readAnew.noticeMs = Ms(500);
-  config::Settings const expected = readAnew;
-  readAnew.node = "m02";
-  readAnew.zone = "z2";
-  readAnew.data = "/elsewhere";
-  readAnew.callerListens = {"10.0.0.1:9"};
-  config::SettingsUpdate const update = config::updateSettings(inForce, readAnew);
+  config::Settings newSettings = inForce;
+  newSettings.seeds = {"10.0.0.2:1", "10.0.0.3:1"};
+  newSettings.platform = "10.0.0.9:1";
+  newSettings.listMs = Ms(900);
+  newSettings.listPageMs = Ms(90);
+  newSettings.maxConnections = 77;
+  newSettings.extraSlack = 5;
+  newSettings.extraRatio = 0.5;
+  newSettings.graceMs = Ms(1000);
+  newSettings.noticeMs = Ms(500);
+  config::Settings const expected = newSettings;
+  newSettings.node = "m02";
+  newSettings.zone = "z2";
+  newSettings.data = "/elsewhere";
+  newSettings.callerListens = {"10.0.0.1:9"};
+  config::SettingsUpdate const update = config::updateSettings(inForce, newSettings);
   EXPECT_EQ(update.applied, (std::vector<std::string>{"seeds", "platform", "list_ms", "list_page_ms", "max_connections",
                                                       "extra_slack", "extra_ratio", "grace_ms", "notice_ms"}));
   EXPECT_EQ(update.waitingForRestart, (std::vector<std::string>{"node", "zone", "data", "caller_listens"}));
@@ -86,7 +86,7 @@
   EXPECT_TRUE(config::updateSettings(expected, update.settings).waitingForRestart.empty());
 }
 
-TEST(SettingsFile, IsReadOnceForEachChangeAndNotWhileThereIsNone) {
+TEST(SettingsFile, IsReadOncePerChangeAndNotWhileItIsMissing) {
   SeedFile seedFile("10.0.0.1:1");
   config::SettingsFile file = seedFile.follow();
   EXPECT_TRUE(file.readIfChanged().has_value());
@@ -101,7 +101,7 @@
   EXPECT_EQ(seedFile.reads, 3);
 }
 
-TEST(SettingsFile, OneThatIsNotUsableIsReadAgainUntilItIs) {
+TEST(SettingsFile, InvalidFileIsReadAgainUntilItIsValid) {
   SeedFile seedFile("half of a");
   config::SettingsFile file = seedFile.follow();
   EXPECT_FALSE(file.readIfChanged()->settings.has_value());
@@ -111,7 +111,7 @@
   EXPECT_FALSE(file.readIfChanged().has_value());
 }
 
-TEST(SettingsFollower, LooksAtItsRateAndAtOnceWhenTold) {
+TEST(SettingsFollower, ChecksTheFileAtItsIntervalAndAtOnceOnReload) {
   SeedFile seedFile("10.0.0.1:1");
   node::SettingsFollower follower(settingsWithSeeds({"10.0.0.1:1"}));
   node::TimePoint const start{std::chrono::hours(1)};
@@ -120,21 +120,21 @@
   follower.follow(seedFile.follow());
   EXPECT_FALSE(follower.tick(start).has_value());
   seedFile.write("10.0.0.2:1");
-  for (Ms passed{0}; passed < node::settingsLookMs; passed += Ms(50)) {
-    EXPECT_FALSE(follower.tick(start + passed).has_value());
+  for (Ms elapsed{0}; elapsed < node::settingsLookMs; elapsed += Ms(50)) {
+    EXPECT_FALSE(follower.tick(start + elapsed).has_value());
   }
   EXPECT_EQ(seedFile.reads, 1);
-  std::optional<config::SettingsUpdate> const seen = follower.tick(start + node::settingsLookMs);
-  ASSERT_TRUE(seen.has_value());
-  EXPECT_EQ(seen->settings.seeds.front(), "10.0.0.2:1");
+  std::optional<config::SettingsUpdate> const polled = follower.tick(start + node::settingsLookMs);
+  ASSERT_TRUE(polled.has_value());
+  EXPECT_EQ(polled->settings.seeds.front(), "10.0.0.2:1");
   seedFile.write("10.0.0.3:1");
-  std::optional<config::SettingsUpdate> const told = follower.reload(start + node::settingsLookMs);
-  ASSERT_TRUE(told.has_value());
-  EXPECT_EQ(told->settings.seeds.front(), "10.0.0.3:1");
+  std::optional<config::SettingsUpdate> const reread = follower.reload(start + node::settingsLookMs);
+  ASSERT_TRUE(reread.has_value());
+  EXPECT_EQ(reread->settings.seeds.front(), "10.0.0.3:1");
   EXPECT_EQ(follower.inForce().seeds.front(), "10.0.0.3:1");
 }
 
-TEST(SettingsFollower, AFileThatIsNotUsableLeavesTheFormerSettings) {
+TEST(SettingsFollower, InvalidFileLeavesTheFormerSettingsInForce) {
   SeedFile seedFile("10.0.0.1:1");
   node::SettingsFollower follower(settingsWithSeeds({"10.0.0.1:1"}));
   follower.follow(seedFile.follow());
@@ -147,44 +147,44 @@
   EXPECT_TRUE(follower.tick(start + 2 * node::settingsLookMs).has_value());
 }
 
-/// What a service was told, one value for each call.
-struct Told {
+/// Becomes ready as the service receives each call.
+struct ReceivedCalls {
   std::promise<void> followed;
   std::promise<void> reloaded;
   std::promise<void> drained;
 };
 
-/// Stands in for a server: keeps no request and tells what was asked of it.
+/// A service that serves nothing and reports the calls that it receives.
 class RecordingService {
  public:
-  explicit RecordingService(Told& told) : told_(told) {}
-  void follow(config::SettingsFile const&) { told_.followed.set_value(); }
-  void reload() { told_.reloaded.set_value(); }
-  void drain() { told_.drained.set_value(); }
+  explicit RecordingService(ReceivedCalls& calls) : calls_(calls) {}
+  void follow(config::SettingsFile const&) { calls_.followed.set_value(); }
+  void reload() { calls_.reloaded.set_value(); }
+  void drain() { calls_.drained.set_value(); }
 
  private:
-  Told& told_;
+  ReceivedCalls& calls_;
 };
 
-TEST(Program, ReadsItsSettingsAgainOnSighupAndDrainsOnSigterm) {
-  sigset_t both;
-  sigemptyset(&both);
-  sigaddset(&both, SIGHUP);
-  sigaddset(&both, SIGTERM);
-  pthread_sigmask(SIG_BLOCK, &both, nullptr);
-  Told told;
+TEST(Program, ReloadsItsSettingsOnSighupAndDrainsOnSigterm) {
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, SIGHUP);
+  sigaddset(&signals, SIGTERM);
+  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
+  ReceivedCalls calls;
   SeedFile seedFile("10.0.0.1:1");
   std::future<int> ended = std::async(std::launch::async, [&] {
     programs::Start<RecordingService> const start = [&](config::Settings const&, std::string&) {
-      return std::make_unique<RecordingService>(told);
+      return std::make_unique<RecordingService>(calls);
     };
     return programs::serve<RecordingService>("program-test", settingsWithSeeds({}), seedFile.follow(), start);
   });
-  told.followed.get_future().wait();
+  calls.followed.get_future().wait();
   kill(getpid(), SIGHUP);
-  told.reloaded.get_future().wait();
+  calls.reloaded.get_future().wait();
   kill(getpid(), SIGTERM);
-  told.drained.get_future().wait();
+  calls.drained.get_future().wait();
   EXPECT_EQ(ended.get(), 0);
 }
 
