--- a/libs/messages/include/limeramp/messages/service_tables.h
+++ b/libs/messages/include/limeramp/messages/service_tables.h
@@ -64,7 +64,8 @@
   }
 };
 
-/// Answers a TableRequest: complete tables if they differ from the sender's, otherwise digests. Also pushed.
+/// Answers a TableRequest: complete tables where the digests differ, otherwise digests only. Also pushed to
+/// followers when a table changes.
 struct TableResponse {
   static constexpr char const* name = "TableNews";
   std::string node;
