--- a/test_support/explorer/action.h
+++ b/test_support/explorer/action.h
@@ -28,9 +28,9 @@
   read,
 };
 
-/// One step. The subject is a member's index, or the index of a packet under way for deliver, duplicate and drop. The
-/// detail is the number of unsynced writes that outlive a crash, whether a write that fails is on the disk
-/// nevertheless, the far side of a cut, or an operator's number.
+/// One step. The subject is the index of a participant or, for deliver, duplicate and drop, of a packet in flight. The
+/// detail is the number of unsynced writes that survive a crash, whether a failed write reached the disk nevertheless,
+/// the receiving side of a cut link, or the number of an operator.
 struct Action {
   ActionKind kind = ActionKind::tick;
   std::uint8_t subject = 0;
--- a/test_support/explorer/history.cpp
+++ b/test_support/explorer/history.cpp
@@ -156,7 +156,7 @@
 void History::onVote(std::string const& member, bool mayFound, std::uint64_t slot) {
   if (slot <= 1) {
     if (!mayFound) {
-      fail(member + " votes in a founding without the memory of its earlier votes");
+      fail(member + " votes in the first epoch without the record of its earlier votes");
     }
     return;
   }
--- a/test_support/explorer/history.h
+++ b/test_support/explorer/history.h
@@ -12,7 +12,7 @@
 
 namespace limeramp::explorer {
 
-/// What is known of one operator's order over all its calls.
+/// The outcome of one operator's order over all its calls.
 struct OrderOutcome {
   std::uint64_t baseRevision = 0;
   std::size_t calls = 0;
@@ -21,15 +21,15 @@
   std::optional<config::Version> takenAs;
 };
 
-/// A call under way: of an order, or of a read if the order is empty.
+/// An outstanding call: of an order, or of a read if the order is empty.
 struct Call {
   std::string order;
   std::size_t acknowledgedBefore = 0;
 };
 
-/// What an observer who sees everything has noted, and the invariants that it checks. A document is the sequence of all
-/// changes in it, so "document A starts with document B" reads "every change of B, in the same order, is in A".
-/// The first broken invariant is kept in violation.
+/// The history of a world as a global observer sees it, and the safety invariants over it. A document is the sequence
+/// of all changes in it, so that document A starts with document B if and only if A holds every change of B in the same
+/// order. `violation` keeps the first violated invariant.
 struct History {
   std::string violation;
   std::string acknowledged;
@@ -43,29 +43,30 @@
   std::map<std::uint64_t, Call> calls;
 
   void fail(std::string text);
-  /// One record for one epoch.
+  /// Invariant: each epoch has one record.
   void onDecided(std::string const& member, messages::EpochRecord const& record);
-  /// A leader begins with every change acknowledged in an earlier epoch.
+  /// Invariant: a leader begins with every change that was acknowledged in an earlier epoch.
   void onActive(std::string const& member, std::uint64_t epoch, std::string const& document);
-  /// One acknowledger for one epoch, which its record names; one change for one number; none lost, none reordered.
+  /// Invariants: only the primary that the record of an epoch names acknowledges in that epoch; each version holds one
+  /// change; no acknowledged change is lost or reordered.
   void onCommitted(std::string const& member, messages::State const& state);
-  /// Only the witnesses of an epoch vote on the next.
+  /// Invariant: only the witnesses of an epoch vote on the next one.
   void onVote(std::string const& member, bool mayFound, std::uint64_t slot);
   void onCall(std::uint64_t ticket, std::string const& order, std::uint64_t baseRevision);
   void onRead(std::uint64_t ticket);
-  /// A repetition has the outcome of the first; nothing is refused that was taken, or taken that was refused; what is
-  /// said not to have run is not in force.
+  /// Invariants: a repeated order has the outcome of its first call; no order is both taken and refused; an order
+  /// reported as not run is not in force.
   void onAnswer(std::string const& member, control::OrderOutcome const& answer, messages::State const& published);
-  /// A read returns at least what was acknowledged before it began, and what it returns stays.
+  /// Invariant: a read returns every change acknowledged before it began, and what it returns is never lost.
   void onReadBack(std::string const& member, std::uint64_t epoch, control::ConfigurationRead const& answer);
-  /// A client has been told that this document is in force: none of it may be lost from now on.
+  /// Records that a client was told that this document is in force: none of its changes may be lost from now on.
   void noteInForce(std::string const& member, std::uint64_t epoch, std::string const& document);
-  /// Every order of this document is in it once, and none was refused.
+  /// Invariant: this document holds each order at most once and none that was refused or has not run.
   void checkOrdersIn(std::string const& document);
   std::uint64_t digest() const;
 };
 
-/// The changes of a document, in their order.
+/// Returns the changes of a document in order.
 std::vector<std::string> changesOf(std::string const& document);
 
 }  // namespace limeramp::explorer
--- a/test_support/explorer/scenarios.cpp
+++ b/test_support/explorer/scenarios.cpp
@@ -8,7 +8,7 @@
 constexpr Ms settleBoundMs{20'000};
 constexpr int calmRounds = 60;
 
-/// A group that has been founded, has acknowledged one change, and has been calm since.
+/// Returns a group that was founded, acknowledged one change and then ran calmRounds rounds without a fault.
 World caughtUp(Setup const& setup) {
   Setup calm = setup;
   calm.heartbeats = true;
@@ -22,21 +22,21 @@
   return world;
 }
 
-bool isNoPrepare(Packet const& packet) { return !std::holds_alternative<messages::Prepare>(packet.message); }
+bool isNotPrepare(Packet const& packet) { return !std::holds_alternative<messages::Prepare>(packet.message); }
 
 std::size_t proposers(World const& world) {
   std::set<std::string> from;
   for (std::shared_ptr<Packet const> const& packet : world.packets()) {
-    if (!isNoPrepare(*packet)) {
+    if (!isNotPrepare(*packet)) {
       from.insert(packet->from);
     }
   }
   return from.size();
 }
 
-/// Primary and backup cannot hear one another, have both fenced themselves and begun ballots; then the links work
-/// again.
-World rivalBallots(Setup const& setup) {
+/// Returns a group whose primary and backup, cut off from one another, have both fenced themselves and begun ballots.
+/// All links work again.
+World competingBallots(Setup const& setup) {
   Setup calm = setup;
   calm.heartbeats = true;
   calm.maxPackets = 1000;
@@ -53,16 +53,17 @@
     }
   }
   for (int round = 0; round < 200 && proposers(world) < 2; ++round) {
-    world.run({.delivers = isNoPrepare});
+    world.run({.delivers = isNotPrepare});
   }
   world.healLinks();
   world.setSetup(setup);
   return world;
 }
 
-/// The leader and its last backup have been frozen for a while. The others have decided the next epoch, and its leader
-/// has acknowledged a change. What the frozen ones had heard before lies fresh before their clocks.
-World replacedUnawares(Setup const& setup, std::size_t changes) {
+/// Returns a group whose leader and, if it has several backups, last backup were frozen while the others decided the
+/// next epoch and its leader acknowledged changes. The clocks of the frozen members stood still, so the messages that
+/// they received before still count as recent.
+World supersededWhileFrozen(Setup const& setup, std::size_t changes) {
   World world = caughtUp(setup);
   if (!world.leader()) {
     return world;
@@ -126,9 +127,9 @@
                          {.offers = 2, .ticks = 6, .jumps = 1, .crashes = 1, .writeFailures = 2}));
   out.push_back(scenario("takeover", "three members, a silent primary, syncs at once",
                          withoutPackets(caughtUp(threeAtOnce)), {.offers = 2, .ticks = 8, .jumps = 2}));
-  out.push_back(
-      scenario("ballots", "primary and backup propose at once, no heartbeats", rivalBallots(threeQuiet), {.ticks = 4}));
-  out.push_back(scenario("ballots-crash", "the same, and one machine loses power", rivalBallots([] {
+  out.push_back(scenario("ballots", "primary and backup propose at once, no heartbeats", competingBallots(threeQuiet),
+                         {.ticks = 4}));
+  out.push_back(scenario("ballots-crash", "the same, and one machine loses power", competingBallots([] {
                            Setup setup;
                            setup.heartbeats = false;
                            return setup;
@@ -137,21 +138,21 @@
   out.push_back(scenario("founding", "three members that were never started", World(threeAtOnce, {}),
                          {.offers = 1, .ticks = 15, .wipes = 1}));
   out.push_back(scenario("leave", "the primary is told to end", withoutPackets(caughtUp(threeAtOnce)),
-                         {.offers = 2, .ticks = 6, .retirements = 1}));
+                         {.offers = 2, .ticks = 6, .shutdowns = 1}));
   out.push_back(scenario("wipe", "a machine loses its disk and returns", withoutPackets(caughtUp(threeAtOnce)),
                          {.offers = 1, .ticks = 8, .jumps = 1, .wipes = 1}));
   out.push_back(scenario("five", "three replicas, five members", withoutPackets(caughtUp(five)),
                          {.offers = 1, .ticks = 6, .jumps = 2}));
   out.push_back(scenario("replaced", "a leader was frozen while the next one acknowledged a change",
-                         replacedUnawares(threeAtOnce, 1), {.offers = 2, .ticks = 6, .jumps = 1, .crashes = 1}));
-  out.push_back(scenario("replaced-five", "the same, and its second backup with it", replacedUnawares(five, 1),
+                         supersededWhileFrozen(threeAtOnce, 1), {.offers = 2, .ticks = 6, .jumps = 1, .crashes = 1}));
+  out.push_back(scenario("replaced-five", "the same, and its second backup with it", supersededWhileFrozen(five, 1),
                          {.offers = 2, .ticks = 6, .jumps = 1, .crashes = 1}));
   Setup services = threeAtOnce;
   services.services = true;
   out.push_back(scenario("orders", "two operators, orders, repetitions and reads", withoutPackets(caughtUp(services)),
                          {.offers = 4, .reads = 1, .ticks = 6, .jumps = 1, .crashes = 1}));
   out.push_back(scenario("orders-replaced", "two operators call a replaced leader and its successor",
-                         replacedUnawares(services, 1), {.offers = 4, .reads = 2, .ticks = 6, .jumps = 1}));
+                         supersededWhileFrozen(services, 1), {.offers = 4, .reads = 2, .ticks = 6, .jumps = 1}));
   return out;
 }
 
@@ -162,7 +163,7 @@
                      .crashes = 4,
                      .wipes = 1,
                      .replacements = 0,
-                     .retirements = 2,
+                     .shutdowns = 2,
                      .duplicates = 6,
                      .drops = 12,
                      .cuts = 3};
@@ -171,7 +172,7 @@
                         .jumps = 6,
                         .crashes = 4,
                         .replacements = 1,
-                        .retirements = 2,
+                        .shutdowns = 2,
                         .duplicates = 6,
                         .drops = 12,
                         .cuts = 3};
@@ -191,10 +192,10 @@
   Budget failingDisksReplaced = replaced;
   failingDisksReplaced.writeFailures = 12;
   out.push_back(scenario("walk-disks-4", "the same with a spare, one replaced", caughtUp(four), failingDisksReplaced));
-  Setup rivalsWithDisks;
-  rivalsWithDisks.heartbeats = false;
+  Setup competingWithDisks;
+  competingWithDisks.heartbeats = false;
   out.push_back(scenario("walk-disks-ballots", "primary and backup propose at once while writes fail",
-                         rivalBallots(rivalsWithDisks),
+                         competingBallots(competingWithDisks),
                          {.ticks = 12, .crashes = 2, .writeFailures = 4, .duplicates = 2, .drops = 4}, 80));
   out.push_back(scenario("walk-founding", "three members from the first start", World(three, {}), mixed));
   out.push_back(scenario("walk-4", "three members and a spare, one replaced", caughtUp(four), replaced));
@@ -203,18 +204,18 @@
   Setup quiet;
   quiet.heartbeats = false;
   out.push_back(scenario("walk-ballots", "primary and backup propose at once, and machines lose power",
-                         rivalBallots(quiet), {.ticks = 9, .crashes = 2, .duplicates = 2, .drops = 4}, 80));
+                         competingBallots(quiet), {.ticks = 9, .crashes = 2, .duplicates = 2, .drops = 4}, 80));
   out.push_back(scenario("walk-replaced", "a leader and its second backup were frozen while others went on",
-                         replacedUnawares(five, 1), shortFaults, 80));
+                         supersededWhileFrozen(five, 1), shortFaults, 80));
   Setup orders = three;
   orders.services = true;
-  Setup forgetful = orders;
-  forgetful.maxReceipts = 2;
+  Setup fewReceipts = orders;
+  fewReceipts.maxReceipts = 2;
   Budget called = mixed;
   called.offers = 100;
   called.reads = 40;
   out.push_back(scenario("walk-orders", "two operators call three members, all faults", caughtUp(orders), called));
-  out.push_back(scenario("walk-receipts", "the same, with two receipts", caughtUp(forgetful), called));
+  out.push_back(scenario("walk-receipts", "the same, with two receipts", caughtUp(fewReceipts), called));
   Setup ordersFive = five;
   ordersFive.services = true;
   out.push_back(scenario("walk-orders-5", "two operators call five members", caughtUp(ordersFive), called));
--- a/test_support/explorer/scenarios.h
+++ b/test_support/explorer/scenarios.h
@@ -7,7 +7,7 @@
 
 namespace limeramp::explorer {
 
-/// A named start of a search: the members, the point that they have reached, and the budget from there on.
+/// A named start of a search or a walk: the state of the world and the budget of steps from there on.
 struct Scenario {
   std::string name;
   std::string about;
--- a/test_support/explorer/search.cpp
+++ b/test_support/explorer/search.cpp
@@ -29,8 +29,8 @@
   return out;
 }
 
-/// How often a walk takes a step of a kind, if one is possible. Packets and syncs must outrun the ticks, or every walk
-/// is one long silence.
+/// The relative weight of a kind of step in a random walk. Deliveries and syncs must be more frequent than ticks;
+/// otherwise every walk consists of time-outs only.
 unsigned weightOf(ActionKind kind) {
   switch (kind) {
     case ActionKind::deliver:
@@ -53,7 +53,7 @@
   }
 }
 
-/// Draws a kind by weight and then one of its steps evenly.
+/// Draws a kind by weight and then one of its steps uniformly.
 Action draw(std::vector<Action> const& actions, std::mt19937_64& random) {
   std::vector<ActionKind> kinds;
   std::uint64_t total = 0;
@@ -105,9 +105,9 @@
         std::uint32_t const index = static_cast<std::uint32_t>(visited.size() - 1);
         std::string violation = world.violation();
         if (!broken && bounds.recoverEvery != 0 && visited.size() % bounds.recoverEvery == 0) {
-          World rescued = world;
-          violation = rescued.recover(recoveryBoundMs);
-          violation = rescued.violation().empty() ? violation : rescued.violation();
+          World recovered = world;
+          violation = recovered.recover(recoveryBoundMs);
+          violation = recovered.violation().empty() ? violation : recovered.violation();
           ++report.recoveries;
         }
         if (!violation.empty()) {
@@ -165,13 +165,13 @@
   return report;
 }
 
-std::string replay(World world, Trace const& trace, bool thenRecover, std::string* account) {
+std::string replay(World world, Trace const& trace, bool thenRecover, std::string* stepLog) {
   for (Action const& action : trace) {
     if (!world.enabled(action)) {
       continue;
     }
-    if (account != nullptr) {
-      *account += world.describe(action) + "\n";
+    if (stepLog != nullptr) {
+      *stepLog += world.describe(action) + "\n";
     }
     world.apply(action);
     if (!world.violation().empty()) {
--- a/test_support/explorer/search.h
+++ b/test_support/explorer/search.h
@@ -17,7 +17,7 @@
 struct SearchBounds {
   std::size_t maxStates = 100'000;
   std::size_t maxDepth = 100;
-  /// Of every so many visited states one runs the recovery schedule to its end; none with 0.
+  /// One in this many visited states runs the recovery schedule; 0 disables it.
   std::size_t recoverEvery = 0;
 };
 
@@ -26,12 +26,12 @@
   std::size_t transitions = 0;
   std::size_t depth = 0;
   std::size_t recoveries = 0;
-  /// Every state within the budget was visited, none was left out for a bound.
+  /// Every reachable state within the budget was visited; no bound cut the search short.
   bool complete = false;
   std::optional<Finding> finding;
 };
 
-/// Breadth-first over all steps: the trace of a finding is a shortest one.
+/// Searches breadth-first over all steps, so that the trace of a finding is a shortest one.
 SearchReport searchAll(World const& start, SearchBounds const& bounds);
 
 struct WalkBounds {
@@ -49,13 +49,14 @@
   std::optional<Finding> finding;
 };
 
-/// Random steps, each walk by its own seed, the recovery schedule at the end of each.
+/// Runs random walks, each with its own seed, and the recovery schedule at the end of each.
 WalkReport walkRandomly(World const& start, WalkBounds const& bounds);
 
-/// Runs the trace, leaving out steps that are not possible. Says the violation, or what recovery misses if asked.
-std::string replay(World world, Trace const& trace, bool thenRecover, std::string* account = nullptr);
+/// Replays the trace and skips steps that are not enabled. Returns the violation or, with thenRecover, why recovery
+/// failed; empty if neither.
+std::string replay(World world, Trace const& trace, bool thenRecover, std::string* stepLog = nullptr);
 
-/// Leaves out steps as long as the rest still breaks an invariant.
+/// Minimizes a trace: removes steps as long as the rest still violates an invariant.
 Finding shorten(World const& start, Finding const& finding);
 
 }  // namespace limeramp::explorer
--- a/test_support/explorer/state_explorer.cpp
+++ b/test_support/explorer/state_explorer.cpp
@@ -18,10 +18,10 @@
 
 int report(Scenario const& scenario, Finding const& finding, bool shortens) {
   Finding const shortest = shortens ? shorten(scenario.start, finding) : finding;
-  std::string account;
-  replay(scenario.start, shortest.trace, true, &account);
+  std::string stepLog;
+  replay(scenario.start, shortest.trace, true, &stepLog);
   std::cout << scenario.name << ": BROKEN: " << shortest.violation << "\n"
-            << account << "replay: --scenario " << scenario.name << " --replay " << traceText(shortest.trace) << "\n";
+            << stepLog << "replay: --scenario " << scenario.name << " --replay " << traceText(shortest.trace) << "\n";
   return 1;
 }
 
@@ -53,9 +53,9 @@
     std::cerr << "not a trace: " << text << "\n";
     return 2;
   }
-  std::string account;
-  std::string const violation = replay(scenario.start, *trace, true, &account);
-  std::cout << account << (violation.empty() ? "no invariant is broken" : "BROKEN: " + violation) << "\n";
+  std::string stepLog;
+  std::string const violation = replay(scenario.start, *trace, true, &stepLog);
+  std::cout << stepLog << (violation.empty() ? "no invariant is broken" : "BROKEN: " + violation) << "\n";
   return violation.empty() ? 0 : 1;
 }
 
--- a/test_support/explorer/world.cpp
+++ b/test_support/explorer/world.cpp
@@ -5,9 +5,9 @@
 namespace limeramp::explorer {
 namespace {
 
-/// A freeze outlasts every time-out of a group of two backups at once.
+/// Longer than every time-out of a group with two backups.
 constexpr Ms jumpMs{2100};
-/// One tick takes the longest interval between heartbeats: a member greets everybody at each.
+/// The longest heartbeat interval: a member sends a heartbeat to every other member at each tick.
 constexpr Ms tickMs{400};
 
 bool spend(std::size_t& budget) {
@@ -47,7 +47,7 @@
   }
 }
 
-Member& World::change(std::size_t index) {
+Member& World::mutableMember(std::size_t index) {
   if (members_[index].use_count() > 1) {
     members_[index] = std::make_shared<Member>(*members_[index]);
   }
@@ -58,7 +58,7 @@
   return *members_[index];
 }
 
-History& World::changeHistory() {
+History& World::mutableHistory() {
   if (history_.use_count() > 1) {
     history_ = std::make_shared<History>(*history_);
   }
@@ -135,11 +135,11 @@
     case ActionKind::replace:
       return budget_.replacements > 0;
     case ActionKind::beginShutdown:
-      return member.up && !member.shuttingDown && budget_.retirements > 0;
+      return member.up && !member.shuttingDown && budget_.shutdowns > 0;
     case ActionKind::offer:
       return budget_.offers > 0 && mayCall(action.subject, action.detail);
     case ActionKind::read:
-      return member.up && budget_.reads > 0 && member.plane && member.plane->active();
+      return member.up && budget_.reads > 0 && member.configService && member.configService->active();
     default:
       return false;
   }
@@ -227,7 +227,7 @@
     case ActionKind::jump:
       spend(budget_.jumps);
       now_ += jumpMs;
-      change(index).clock += hasOneClock() ? Ms(0) : jumpMs;
+      mutableMember(index).clock += hasOneClock() ? Ms(0) : jumpMs;
       return;
     case ActionKind::crash:
       spend(budget_.crashes);
@@ -253,9 +253,9 @@
       healLinks();
       return;
     case ActionKind::beginShutdown:
-      spend(budget_.retirements);
-      change(index).shuttingDown = true;
-      drivePlane(index, control::BeginShutdown{});
+      spend(budget_.shutdowns);
+      mutableMember(index).shuttingDown = true;
+      driveConfigService(index, control::BeginShutdown{});
       step(index, replication::BeginShutdown{});
       return;
     case ActionKind::offer:
--- a/test_support/explorer/world.h
+++ b/test_support/explorer/world.h
@@ -24,7 +24,7 @@
 
 struct Packet;
 
-/// How often each kind of step may still happen.
+/// The number of steps of each kind that may still happen.
 struct Budget {
   std::size_t offers = 0;
   std::size_t reads = 0;
@@ -34,48 +34,50 @@
   std::size_t writeFailures = 0;
   std::size_t wipes = 0;
   std::size_t replacements = 0;
-  std::size_t retirements = 0;
+  std::size_t shutdowns = 0;
   std::size_t duplicates = 0;
   std::size_t drops = 0;
   std::size_t cuts = 0;
 };
 
-/// Two operators act in a search; a third asks for a change while the group recovers.
+/// Operators that act in a search. One more proposes changes in the recovery schedule.
 constexpr std::size_t operatorCount = 2;
 
-/// A tick of one participant, if all share one clock.
+/// The clock advance of one tick if all participants share one clock.
 constexpr Ms sharedTickMs{20};
 
 struct Setup {
   std::size_t members = 3;
   std::size_t machineLosses = 1;
-  /// A write counts as synced at once. Leaves out the crashes between a write and its sync, for deeper searches.
+  /// Every write is synced at once. This excludes crashes between a write and its sync and so allows deeper searches.
   bool syncsAtOnce = false;
-  /// Heartbeats are messages like all others. Without them members learn only from the other messages.
+  /// Sends heartbeats as ordinary packets. Without them members learn only from the other messages.
   bool heartbeats = true;
   std::size_t maxPackets = 24;
-  /// Each member runs a control::Plane, which two operators call. Otherwise changes are offered to the group itself.
+  /// Each member runs a control::ConfigService that two operators call. Otherwise changes are proposed to the group
+  /// directly.
   bool services = false;
   std::size_t maxReceipts = 256;
-  /// Nodes that follow the configuration, each with a distribution::ConfigDelivery. What they promise is about time, so
-  /// all clocks are one then: who is not stepped is frozen. For walks only: their state is not part of the digest.
+  /// Nodes that follow the configuration, each with a distribution::ConfigDelivery. Their guarantees are time bounds,
+  /// so with nodes all participants share one clock, and a participant that is not stepped is frozen. For random walks
+  /// only: the state of the nodes is not part of the digest.
   std::size_t nodes = 0;
 };
 
-/// One round of a fixed schedule: who takes part, and which packets arrive.
+/// One round of a fixed schedule: the clock advance, the packets that are delivered and the frozen members.
 struct Round {
   Ms time{50};
   bool (*delivers)(Packet const& packet) = nullptr;
   std::set<std::size_t> frozen{};
 };
 
-/// The number of acknowledged bytes when this member's clock showed a time.
+/// The number of acknowledged bytes at a time of this member's clock.
 struct AcknowledgedMark {
   TimePoint at;
   std::size_t size = 0;
 };
 
-/// A member with its own clock. Members are shared between worlds and copied before a change.
+/// A group member with its own clock. Worlds share members and copy one before they modify it.
 struct Member {
   std::string id;
   std::string address;
@@ -83,14 +85,14 @@
   bool up = false;
   bool mayFound = true;
   bool shuttingDown = false;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   TimePoint clock{std::chrono::hours(1)};
   std::map<std::string, std::string> disk;
   std::vector<replication::Persist> unsynced;
-  /// A write failed, so all are refused before a rewrite, as storage::RecordStore does.
+  /// A write failed: the store rejects all writes until a rewrite, as storage::RecordStore does.
   bool storeFailed = false;
   replication::ReplicationGroup group{replication::ReplicationOptions{}};
-  std::optional<control::ConfigService> plane;
+  std::optional<control::ConfigService> configService;
   std::vector<AcknowledgedMark> acknowledgedMarks;
   std::optional<std::uint64_t> digest;
 };
@@ -103,15 +105,15 @@
   std::uint64_t digest = 0;
 };
 
-/// A node that serves under the configuration that it has.
+/// A node that follows the configuration.
 struct Node {
   std::string name;
   std::string address;
   std::string zone;
   bool up = false;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   std::optional<distribution::ConfigDelivery> delivery;
-  /// The newest version of this life.
+  /// The last version observed in this incarnation; it must not decrease.
   config::Version version;
 };
 
@@ -121,7 +123,7 @@
   TimePoint at;
 };
 
-/// What an operator is about: one order after the other, each repeated until its outcome is known.
+/// The state of an operator, which sends one order at a time and repeats it until its outcome is known.
 struct Operator {
   std::size_t started = 0;
   std::string open;
@@ -131,7 +133,7 @@
 
 std::uint64_t digestOf(Packet const& packet);
 
-/// Equal members of different worlds, kept once.
+/// Deduplicates equal members of different worlds by digest.
 class MemberPool {
  public:
   std::shared_ptr<Member> intern(std::shared_ptr<Member> member);
@@ -142,23 +144,24 @@
   std::size_t pruneAt_ = 1 << 16;
 };
 
-/// A group of replication::ReplicationGroup members, their disks, their clocks and the packets between them. Copies are
-/// cheap, so that a search can branch.
+/// The whole state of a model-checked group: the replication::ReplicationGroup members, their disks, their clocks and
+/// the packets in flight. Copies are cheap, so that a search can branch.
 class World {
  public:
   World(Setup const& setup, Budget const& budget);
 
-  /// Every step that is possible and within the budget.
+  /// Returns every step that is enabled and within the budget.
   std::vector<Action> actions() const;
   bool enabled(Action const& action) const;
   void apply(Action const& action);
   std::string describe(Action const& action) const;
-  std::string picture() const;
+  std::string describeState() const;
   std::string const& violation() const { return history_->violation; }
   std::uint64_t digest(MemberPool* pool);
 
-  /// Ends all faults and runs a fixed schedule: restarts, deliveries in order, syncs at once, clocks in step. Returns
-  /// what is still missing after the bound: an empty text if a leader acknowledged a new change.
+  /// Checks liveness: ends all faults and runs a fixed schedule with restarts, in-order delivery, immediate syncs and
+  /// clocks in step. Returns an empty text if within the bound a leader acknowledged a new change and all nodes serve
+  /// it; otherwise a description of the state. A violation is in violation().
   std::string recover(Ms bound);
 
   void setBudget(Budget const& budget) { budget_ = budget; }
@@ -169,17 +172,17 @@
   std::optional<std::size_t> leader() const;
   std::size_t acknowledgedChanges() const { return history_->changes.size(); }
   std::size_t epochs() const { return history_->records.size(); }
-  /// Offers the next change to the group, or calls the member in the name of an operator.
+  /// Proposes the next change to the group directly, or calls the member's configuration service as an operator.
   void offer(std::size_t index, std::size_t operatorNumber);
-  /// A leader that could take a change at once.
+  /// The leader, if it can accept a change at once.
   std::optional<std::size_t> idleLeader() const;
   void run(Round const& round);
   void cutLink(std::size_t from, std::size_t to) { cuts_.emplace(from, to); }
   void healLinks() { cuts_.clear(); }
 
  private:
-  Member& change(std::size_t index);
-  History& changeHistory();
+  Member& mutableMember(std::size_t index);
+  History& mutableHistory();
   void start(std::size_t index);
   void crash(std::size_t index, std::size_t writesKept);
   void wipe(std::size_t index, bool atNewAddress);
@@ -187,14 +190,14 @@
   void failOldest(std::size_t index, bool onDisk);
   void tick(std::size_t index, Ms time);
   void deliver(std::size_t packet);
-  void startPlane(Member& member) const;
+  void startConfigService(Member& member) const;
   void call(std::size_t index, std::size_t operatorNumber);
   void read(std::size_t index);
   bool mayCall(std::size_t index, std::size_t operatorNumber) const;
   void propose(std::size_t index, replication::Proposal offer);
-  void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
+  void driveConfigService(std::size_t index, control::ConfigServiceEvent const& event);
   void step(std::size_t index, replication::GroupEvent const& event);
-  void carry(std::size_t index, replication::GroupEffect const& effect);
+  void execute(std::size_t index, replication::GroupEffect const& effect);
   void checkVote(std::size_t index, messages::Message const& message);
   void checkReads(std::size_t index);
   bool hasOneClock() const { return setup_.nodes > 0; }
@@ -206,7 +209,7 @@
   void startNode(std::size_t index);
   void tickNode(std::size_t index);
   void deliverToNode(std::size_t index, Packet const& packet);
-  void carry(std::size_t index, distribution::ConfigDeliveryStep const& step);
+  void execute(std::size_t index, distribution::ConfigDeliveryStep const& step);
   void checkNode(std::size_t index);
   void probe(std::size_t index, control::Probe const& probe);
   bool allServeNewest() const;
--- a/test_support/explorer/world_digest.cpp
+++ b/test_support/explorer/world_digest.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-/// What makes two worlds the same to a search.
+/// The digest by which a search recognizes equal worlds.
 namespace limeramp::explorer {
 namespace {
 
@@ -15,7 +15,7 @@
   digest.add(member.up);
   digest.add(member.mayFound);
   digest.add(member.shuttingDown);
-  digest.add(member.life);
+  digest.add(member.incarnation);
   digest.add(member.disk);
   for (replication::Persist const& write : member.unsynced) {
     digest.add(write.puts);
@@ -23,7 +23,7 @@
   }
   digest.add(member.storeFailed);
   digest.add(member.up ? member.group.digest(member.clock) : 0);
-  digest.add(member.plane ? member.plane->digest(member.clock) : 0);
+  digest.add(member.configService ? member.configService->digest(member.clock) : 0);
   for (AcknowledgedMark const& mark : member.acknowledgedMarks) {
     digest.add(mark.at);
     digest.add(mark.size);
@@ -87,7 +87,7 @@
   digest.add(history_->digest());
   for (std::size_t const left :
        {budget_.offers, budget_.reads, budget_.ticks, budget_.jumps, budget_.crashes, budget_.wipes,
-        budget_.replacements, budget_.retirements, budget_.duplicates, budget_.drops, budget_.cuts}) {
+        budget_.replacements, budget_.shutdowns, budget_.duplicates, budget_.drops, budget_.cuts}) {
     digest.add(left);
   }
   return digest.finish();
--- a/test_support/explorer/world_members.cpp
+++ b/test_support/explorer/world_members.cpp
@@ -3,21 +3,22 @@
 /// The members of the group: their disks, their packets, and the checks of what they send.
 namespace limeramp::explorer {
 void World::start(std::size_t index) {
-  Member& member = change(index);
-  ++member.life;
+  Member& member = mutableMember(index);
+  ++member.incarnation;
   member.up = true;
   member.shuttingDown = false;
   member.group = replication::ReplicationGroup(replication::optionsFor(setup_.machineLosses));
   if (setup_.services) {
-    startPlane(member);
+    startConfigService(member);
   }
   member.acknowledgedMarks = {{member.clock, history_->acknowledged.size()}};
-  step(index, replication::Start{
-                  {member.id, member.address, member.zone}, member.disk, 1000 * member.life + index, false, founders_});
+  step(index,
+       replication::Start{
+           {member.id, member.address, member.zone}, member.disk, 1000 * member.incarnation + index, false, founders_});
 }
 
 void World::crash(std::size_t index, std::size_t writesKept) {
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   for (std::size_t write = 0; write < std::min(writesKept, member.unsynced.size()) && !member.storeFailed; ++write) {
     for (std::pair<std::string, std::string> const& put : member.unsynced[write].puts) {
       member.disk[put.first] = put.second;
@@ -27,12 +28,12 @@
   member.storeFailed = false;
   member.up = false;
   member.group = replication::ReplicationGroup(replication::ReplicationOptions{});
-  member.plane.reset();
+  member.configService.reset();
 }
 
 void World::wipe(std::size_t index, bool atNewAddress) {
   crash(index, 0);
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   member.disk.clear();
   member.mayFound = false;
   ++renamed_;
@@ -43,7 +44,7 @@
 }
 
 void World::syncOldest(std::size_t index) {
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   replication::Persist const write = std::move(member.unsynced.front());
   member.unsynced.erase(member.unsynced.begin());
   member.storeFailed = member.storeFailed && !write.rewrite;
@@ -56,9 +57,9 @@
   step(index, replication::PersistFinished{write.token, good});
 }
 
-// Of a write that fails because of the disk nobody knows whether it is on it; one that the store refuses is not.
+// A write that the disk fails may have reached the disk; one that the store rejects has not.
 void World::failOldest(std::size_t index, bool onDisk) {
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   replication::Persist const write = std::move(member.unsynced.front());
   member.unsynced.erase(member.unsynced.begin());
   if (onDisk && (write.rewrite || !member.storeFailed)) {
@@ -71,7 +72,7 @@
 }
 
 void World::tick(std::size_t index, Ms time) {
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   member.clock += hasOneClock() ? Ms(0) : time;
   replication::KnownMembers known;
   known.mayFound = member.mayFound;
@@ -80,7 +81,7 @@
   }
   step(index, known);
   step(index, replication::Tick{});
-  drivePlane(index, control::Tick{});
+  driveConfigService(index, control::Tick{});
 }
 
 void World::deliver(std::size_t packet) {
@@ -93,22 +94,22 @@
   if (*to >= members_.size()) {
     deliverToNode(*to - members_.size(), *taken);
   } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&taken->message)) {
-    drivePlane(*to, control::StateRequestReceived{taken->fromAddress, *poll});
+    driveConfigService(*to, control::StateRequestReceived{taken->fromAddress, *poll});
   } else {
     step(*to, replication::MessageReceived{taken->from, taken->fromAddress, taken->message});
   }
 }
 
 void World::step(std::size_t index, replication::GroupEvent const& event) {
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   for (replication::GroupEffect const& effect : member.group.step(member.clock, event)) {
-    carry(index, effect);
+    execute(index, effect);
   }
   Member const& after = *members_[index];
   messages::EpochRecord const& decided = after.group.decided();
   std::map<std::uint64_t, messages::EpochRecord>::const_iterator const known = history_->records.find(decided.epoch);
   if (decided.epoch > 0 && (known == history_->records.end() || !(known->second == decided))) {
-    changeHistory().onDecided(after.id, decided);
+    mutableHistory().onDecided(after.id, decided);
   }
   checkReads(index);
   while (setup_.syncsAtOnce && !members_[index]->unsynced.empty()) {
@@ -125,8 +126,8 @@
   std::string const& document = member.group.state().document;
   for (AcknowledgedMark const& mark : member.acknowledgedMarks) {
     if (mark.at < *confirmedAt && !document.starts_with(history_->acknowledged.substr(0, mark.size))) {
-      changeHistory().fail(member.id + " may answer a read with '" + document + "' after '" +
-                           history_->acknowledged.substr(0, mark.size) + "' was acknowledged");
+      mutableHistory().fail(member.id + " may answer a read with '" + document + "' after '" +
+                            history_->acknowledged.substr(0, mark.size) + "' was acknowledged");
     }
   }
 }
@@ -135,35 +136,35 @@
   Member const& member = *members_[index];
   if (messages::PrepareResponse const* const promise = std::get_if<messages::PrepareResponse>(&message);
       promise && promise->granted) {
-    changeHistory().onVote(member.id, member.mayFound, promise->nextEpoch);
+    mutableHistory().onVote(member.id, member.mayFound, promise->nextEpoch);
   }
   if (messages::AcceptResponse const* const accepted = std::get_if<messages::AcceptResponse>(&message);
       accepted && accepted->granted) {
-    changeHistory().onVote(member.id, member.mayFound, accepted->nextEpoch);
+    mutableHistory().onVote(member.id, member.mayFound, accepted->nextEpoch);
   }
 }
 
-void World::carry(std::size_t index, replication::GroupEffect const& effect) {
+void World::execute(std::size_t index, replication::GroupEffect const& effect) {
   if (replication::Send const* const message = std::get_if<replication::Send>(&effect)) {
     checkVote(index, message->message);
     sendTo(index, message->address, message->message);
   } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
-    change(index).unsynced.push_back(*persist);
+    mutableMember(index).unsynced.push_back(*persist);
   } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
-    changeHistory().onCommitted(members_[index]->id, committed->state);
+    mutableHistory().onCommitted(members_[index]->id, committed->state);
     for (std::size_t other = 0; other < members_.size(); ++other) {
-      Member& member = change(other);
+      Member& member = mutableMember(other);
       member.acknowledgedMarks.push_back({member.clock, history_->acknowledged.size()});
     }
-    drivePlane(index, *committed);
+    driveConfigService(index, *committed);
   } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
-    changeHistory().onActive(members_[index]->id, active->epoch, active->state.document);
-    drivePlane(index, *active);
+    mutableHistory().onActive(members_[index]->id, active->epoch, active->state.document);
+    driveConfigService(index, *active);
   } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
-    drivePlane(index, replication::SteppedDown{});
+    driveConfigService(index, replication::SteppedDown{});
   } else if (replication::OutcomeUnknown const* const outcomeUnknown =
                  std::get_if<replication::OutcomeUnknown>(&effect)) {
-    drivePlane(index, *outcomeUnknown);
+    driveConfigService(index, *outcomeUnknown);
   }
 }
 
--- a/test_support/explorer/world_nodes.cpp
+++ b/test_support/explorer/world_nodes.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-/// The nodes that follow the configuration, and what they promise: no step back in one life, and nothing older than
-/// what was acknowledged some time ago while they serve.
+/// The nodes that follow the configuration, and their invariants: the version does not decrease within one incarnation,
+/// and a serving node is not older than any version acknowledged more than inForceMs ago.
 namespace limeramp::explorer {
 namespace {
 
@@ -24,7 +24,7 @@
     case ActionKind::restart:
       return !node.up;
     case ActionKind::beginShutdown:
-      return node.up && budget_.retirements > 0;
+      return node.up && budget_.shutdowns > 0;
     default:
       return false;
   }
@@ -47,7 +47,7 @@
       startNode(index);
       return;
     case ActionKind::beginShutdown:
-      --budget_.retirements;
+      --budget_.shutdowns;
       nodes_[index].delivery->beginShutdown();
       return;
     default:
@@ -57,10 +57,10 @@
 
 void World::startNode(std::size_t index) {
   Node& node = nodes_[index];
-  ++node.life;
+  ++node.incarnation;
   node.up = true;
   node.version = {};
-  std::uint64_t const boot = 1000 * (index + 1) + node.life;
+  std::uint64_t const boot = 1000 * (index + 1) + node.incarnation;
   node.delivery.emplace(distribution::ConfigDeliveryOptions{},
                         messages::Follower{node.name, node.address, node.zone, 0, 0}, boot, boot);
 }
@@ -73,21 +73,21 @@
   for (Node const& node : nodes_) {
     peers.push_back({node.name, node.address, node.zone, messages::gatewayRole, 0, 0});
   }
-  carry(index, nodes_[index].delivery->tick(now_, peers));
+  execute(index, nodes_[index].delivery->tick(now_, peers));
 }
 
 void World::deliverToNode(std::size_t index, Packet const& packet) {
   distribution::ConfigDelivery& delivery = *nodes_[index].delivery;
   if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&packet.message)) {
-    carry(index, delivery.onMessage(now_, packet.fromAddress, *poll));
+    execute(index, delivery.onMessage(now_, packet.fromAddress, *poll));
   } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&packet.message)) {
-    carry(index, delivery.onMessage(now_, packet.fromAddress, *response));
+    execute(index, delivery.onMessage(now_, packet.fromAddress, *response));
   } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&packet.message)) {
-    carry(index, delivery.onMessage(now_, packet.fromAddress, *update));
+    execute(index, delivery.onMessage(now_, packet.fromAddress, *update));
   }
 }
 
-void World::carry(std::size_t index, distribution::ConfigDeliveryStep const& step) {
+void World::execute(std::size_t index, distribution::ConfigDeliveryStep const& step) {
   for (distribution::Outgoing const& outgoing : step.sends) {
     sendTo(members_.size() + index, outgoing.address, outgoing.message);
   }
@@ -102,7 +102,7 @@
   }
   config::Version const version{state->configurationEpoch, state->configurationSequence};
   if (version < node.version) {
-    changeHistory().fail(node.name + " goes back from " + node.version.text() + " to " + version.text());
+    mutableHistory().fail(node.name + " goes back from " + node.version.text() + " to " + version.text());
   }
   node.version = version;
   if (!isServing(node.delivery->status(now_).freshness)) {
@@ -110,9 +110,9 @@
   }
   for (Acknowledgement const& acknowledged : acknowledgements_) {
     if (acknowledged.version > version && now_ > acknowledged.at + inForceMs) {
-      changeHistory().fail(node.name + " serves under " + version.text() + " later than " +
-                           std::to_string(inForceMs.count()) + " ms after " + acknowledged.version.text() +
-                           " was acknowledged");
+      mutableHistory().fail(node.name + " serves under " + version.text() + " later than " +
+                            std::to_string(inForceMs.count()) + " ms after " + acknowledged.version.text() +
+                            " was acknowledged");
     }
   }
 }
@@ -122,7 +122,7 @@
   if (!to || *to < members_.size() || cuts_.contains({index, *to}) || cuts_.contains({*to, index})) {
     return;
   }
-  drivePlane(index, control::ProbeFinished{probe.token, !isUp(*to) || nameOf(*to) != probe.node});
+  driveConfigService(index, control::ProbeFinished{probe.token, !isUp(*to) || nameOf(*to) != probe.node});
 }
 
 bool World::allServeNewest() const {
--- a/test_support/explorer/world_operators.cpp
+++ b/test_support/explorer/world_operators.cpp
@@ -1,13 +1,13 @@
 #include "explorer/world.h"
 #include "limeramp/control/order_evaluator.h"
 
-/// The operators, and the Plane of each member that they call.
+/// The operators and the control::ConfigService of each member that they call.
 namespace limeramp::explorer {
 namespace {
 
 constexpr Ms callMs{3000};
 
-/// A language of changes alone: a patch is appended, the revision is the number of changes.
+/// A minimal schema: a patch is appended to the document, and the revision is the number of changes.
 config::ConfigSchema appendingLanguage() {
   config::ConfigSchema schema;
   schema.check = [](std::string const& document) {
@@ -24,10 +24,10 @@
 
 }  // namespace
 
-void World::startPlane(Member& member) const {
+void World::startConfigService(Member& member) const {
   control::ConfigServiceOptions policy;
   policy.maxReceipts = setup_.maxReceipts;
-  member.plane.emplace(policy, member.id, appendingLanguage());
+  member.configService.emplace(policy, member.id, appendingLanguage());
 }
 
 void World::offer(std::size_t index, std::size_t operatorNumber) {
@@ -46,7 +46,7 @@
   std::string const before = members_[index]->group.state().document;
   step(index, std::move(offer));
   if (shuttingDown && members_[index]->group.state().document != before) {
-    changeHistory().fail(members_[index]->id + " is told to end and takes a new change");
+    mutableHistory().fail(members_[index]->id + " accepts a new change after its shutdown began");
   }
 }
 
@@ -57,7 +57,8 @@
   }
   bool const inTurn = operatorNumber == 0 || !operators_[operatorNumber].open.empty() ||
                       operators_[operatorNumber].started < operators_[operatorNumber - 1].started;
-  return operatorNumber < operatorCount && inTurn && member.up && member.plane && member.plane->active();
+  return operatorNumber < operatorCount && inTurn && member.up && member.configService &&
+         member.configService->active();
 }
 
 void World::call(std::size_t index, std::size_t operatorNumber) {
@@ -65,12 +66,12 @@
   std::map<std::string, OrderOutcome>::const_iterator const open = history_->orders.find(caller.open);
   if (open == history_->orders.end() || open->second.refused || open->second.takenAs) {
     caller.open = std::string(1, static_cast<char>('A' + operatorNumber)) + std::to_string(++caller.started);
-    messages::State const& seen = members_[index]->plane->published();
+    messages::State const& seen = members_[index]->configService->published();
     caller.baseRevision = seen.revision;
     caller.base = {seen.configurationEpoch, seen.configurationSequence};
   }
   now_ += std::chrono::microseconds(1);
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   member.clock += std::chrono::microseconds(hasOneClock() ? 0 : 1);
   control::Change order;
   order.ticket = ++lastTicket_;
@@ -83,39 +84,41 @@
     order.baseRevision = caller.baseRevision;
   }
   order.deadline = member.clock + callMs;
-  changeHistory().onCall(order.ticket, order.id, caller.baseRevision);
-  drivePlane(index, order);
+  mutableHistory().onCall(order.ticket, order.id, caller.baseRevision);
+  driveConfigService(index, order);
 }
 
 void World::read(std::size_t index) {
   now_ += std::chrono::microseconds(1);
-  Member& member = change(index);
+  Member& member = mutableMember(index);
   member.clock += std::chrono::microseconds(hasOneClock() ? 0 : 1);
   std::uint64_t const ticket = ++lastTicket_;
-  changeHistory().onRead(ticket);
-  drivePlane(index, control::Read{ticket, member.clock + callMs});
+  mutableHistory().onRead(ticket);
+  driveConfigService(index, control::Read{ticket, member.clock + callMs});
 }
 
-void World::drivePlane(std::size_t index, control::ConfigServiceEvent const& event) {
-  if (!members_[index]->plane) {
+void World::driveConfigService(std::size_t index, control::ConfigServiceEvent const& event) {
+  if (!members_[index]->configService) {
     return;
   }
-  Member& member = change(index);
-  std::vector<control::ConfigServiceEffect> const effects = member.plane->step(member.clock, member.group, event);
+  Member& member = mutableMember(index);
+  std::vector<control::ConfigServiceEffect> const effects =
+      member.configService->step(member.clock, member.group, event);
   for (control::ConfigServiceEffect const& effect : effects) {
     if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
       propose(index, *offer);
     } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
-      changeHistory().onAnswer(members_[index]->id, *decided, members_[index]->plane->published());
+      mutableHistory().onAnswer(members_[index]->id, *decided, members_[index]->configService->published());
       if (decided->verdict == control::OrderStatus::taken) {
         acknowledgements_.push_back({decided->version, now_});
       }
     } else if (control::ConfigurationRead const* const readBack = std::get_if<control::ConfigurationRead>(&effect)) {
-      changeHistory().onReadBack(members_[index]->id, members_[index]->group.decided().epoch, *readBack);
+      mutableHistory().onReadBack(members_[index]->id, members_[index]->group.decided().epoch, *readBack);
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
       sendTo(index, outgoing->address, outgoing->message);
     } else if (control::EvaluateOrder const* const order = std::get_if<control::EvaluateOrder>(&effect)) {
-      drivePlane(index, control::OrderEvaluated{order->token, members_[index]->plane->evaluator().evaluate(*order)});
+      driveConfigService(
+          index, control::OrderEvaluated{order->token, members_[index]->configService->evaluator().evaluate(*order)});
     } else if (control::Probe const* const wanted = std::get_if<control::Probe>(&effect)) {
       probe(index, *wanted);
     }
@@ -128,7 +131,8 @@
     return std::nullopt;
   }
   Member const& member = *members_[*index];
-  bool const idle = !member.group.busy() && (!member.plane || (member.plane->active() && member.plane->pending() == 0));
+  bool const idle = !member.group.busy() &&
+                    (!member.configService || (member.configService->active() && member.configService->pending() == 0));
   return idle ? index : std::nullopt;
 }
 
--- a/test_support/explorer/world_recovery.cpp
+++ b/test_support/explorer/world_recovery.cpp
@@ -1,10 +1,10 @@
 #include "explorer/world.h"
 
-/// The fixed schedule: rounds without faults, and what must come of them.
+/// The recovery schedule: rounds without faults, after which a leader must acknowledge a change.
 namespace limeramp::explorer {
 namespace {
 
-/// How long a member that was told to end waits for its successor.
+/// How long a member that is shutting down waits for a successor before it is restarted.
 constexpr Ms leaveGraceMs{3000};
 constexpr std::size_t maxDeliveriesInRound = 400;
 
@@ -83,11 +83,11 @@
     }
   }
   return violation().empty() ? "no leader acknowledges a change within " + std::to_string(bound.count()) +
-                                   " ms after the last fault" + picture()
+                                   " ms after the last fault" + describeState()
                              : "";
 }
 
-std::string World::picture() const {
+std::string World::describeState() const {
   std::string out;
   for (std::shared_ptr<Member> const& member : members_) {
     messages::EpochRecord const& decided = member->group.decided();
--- a/test_support/simulator/fleet_simulation.cpp
+++ b/test_support/simulator/fleet_simulation.cpp
@@ -52,10 +52,10 @@
   for (Machine const& machine : machines) {
     if (machine.up && machine.gateway) {
       out.push_back({machine.gateway->node, machine.gateway->address, machine.gateway->zone, messages::gatewayRole,
-                     machine.life, 0});
+                     machine.incarnation, 0});
     } else if (machine.up) {
       out.push_back({machine.controller->id, machine.controller->address, machine.controller->zone,
-                     messages::controllerRole, machine.life, 0});
+                     messages::controllerRole, machine.incarnation, 0});
     }
   }
   return out;
@@ -66,8 +66,8 @@
   machine.up = true;
   machine.hostLost = false;
   machine.frozen = false;
-  machine.thawWork.clear();
-  ++machine.life;
+  machine.deferredWork.clear();
+  ++machine.incarnation;
   if (machine.gateway) {
     SimulatedGateway& gateway = *machine.gateway;
     gateway.delivery.emplace(distribution::ConfigDeliveryOptions{},
@@ -79,20 +79,20 @@
     controller.unsynced.clear();
     controller.diskFails = false;
     controller.group.emplace(replication::ReplicationOptions{});
-    controller.plane.emplace(control::ConfigServiceOptions{}, controller.id, schema);
+    controller.configService.emplace(control::ConfigServiceOptions{}, controller.id, schema);
     step(index, replication::Start{{controller.id, controller.address, controller.zone},
                                    controller.disk,
                                    network.random()(),
                                    false,
                                    founders_});
   }
-  tick(index, machine.life);
+  tick(index, machine.incarnation);
 }
 
 void FleetSimulation::kill(std::size_t index) {
   Machine& machine = machines[index];
   machine.up = false;
-  ++machine.life;
+  ++machine.incarnation;
 }
 
 void FleetSimulation::loseHost(std::size_t index) {
@@ -121,14 +121,14 @@
 }
 
 void FleetSimulation::probe(std::size_t from, control::Probe const& wanted) {
-  std::uint64_t const life = machines[from].life;
-  std::function<void(bool)> const tell = [this, from, life, token = wanted.token](bool gone) {
-    network.after(std::chrono::microseconds(200 + network.roll(3'000)), [this, from, life, token, gone] {
-      if (machines[from].up && machines[from].life == life) {
-        std::function<void()> const onMessage = [this, from, token, gone] {
-          drivePlane(from, control::ProbeFinished{token, gone});
+  std::uint64_t const incarnation = machines[from].incarnation;
+  std::function<void(bool)> const reportResult = [this, from, incarnation, token = wanted.token](bool gone) {
+    network.after(std::chrono::microseconds(200 + network.roll(3'000)), [this, from, incarnation, token, gone] {
+      if (machines[from].up && machines[from].incarnation == incarnation) {
+        std::function<void()> const deliverResult = [this, from, token, gone] {
+          driveConfigService(from, control::ProbeFinished{token, gone});
         };
-        machines[from].frozen ? machines[from].thawWork.push_back(onMessage) : onMessage();
+        machines[from].frozen ? machines[from].deferredWork.push_back(deliverResult) : deliverResult();
       }
     });
   };
@@ -138,16 +138,16 @@
       continue;
     }
     taken = true;
-    network.after(std::chrono::microseconds(200 + network.roll(3'000)), [this, to, from, tell, wanted] {
+    network.after(std::chrono::microseconds(200 + network.roll(3'000)), [this, to, from, reportResult, wanted] {
       Machine const& machine = machines[to];
       if (cuts_.contains({from, to}) || cuts_.contains({to, from}) || machine.hostLost || machine.frozen) {
         return;
       }
-      tell(!machine.up || (machine.gateway && machine.gateway->node != wanted.node));
+      reportResult(!machine.up || (machine.gateway && machine.gateway->node != wanted.node));
     });
   }
   if (!taken) {
-    tell(true);
+    reportResult(true);
   }
 }
 
@@ -157,11 +157,11 @@
     return;
   }
   machine.frozen = false;
-  judge(index);
-  std::vector<std::function<void()>> const work = std::move(machine.thawWork);
-  machine.thawWork.clear();
-  for (std::function<void()> const& one : work) {
-    one();
+  checkInvariants(index);
+  std::vector<std::function<void()>> const work = std::move(machine.deferredWork);
+  machine.deferredWork.clear();
+  for (std::function<void()> const& task : work) {
+    task();
   }
 }
 
@@ -184,7 +184,7 @@
   return distribution::mayServe(freshness);
 }
 
-std::string FleetSimulation::picture() const {
+std::string FleetSimulation::describeState() const {
   std::string out;
   for (Machine const& machine : machines) {
     std::string const end = std::string(machine.up ? " up" : " down") + (machine.frozen ? " frozen" : "");
@@ -199,12 +199,12 @@
     out += "\n" + machine.controller->id + end + " epoch " + std::to_string(decided.epoch) + " primary " +
            decided.primary + " backup " + (decided.backups.empty() ? "" : decided.backups.front());
     if (machine.isActive()) {
-      messages::State const& state = machine.controller->plane->published();
+      messages::State const& state = machine.controller->configService->published();
       out += " active, prior";
       for (messages::RosterEntry const& entry : state.priorRoster) {
         out += " " + entry.node;
       }
-      for (control::NodeView const& node : machine.controller->plane->nodes(network.now())) {
+      for (control::NodeView const& node : machine.controller->configService->nodes(network.now())) {
         out += "\n    " + node.node + " " + node.address + " confirmed " + node.confirmed.text() + " heard " +
                std::to_string(node.sinceReportMs.count()) + (node.gone ? " gone" : "");
       }
@@ -229,13 +229,13 @@
   return serving() >= wanted;
 }
 
-void FleetSimulation::complain(std::string const& text) {
-  if (complaints.empty() || complaints.back() != text) {
-    complaints.push_back(text);
+void FleetSimulation::addViolation(std::string const& text) {
+  if (violations.empty() || violations.back() != text) {
+    violations.push_back(text);
   }
 }
 
-void FleetSimulation::judge(std::size_t index) {
+void FleetSimulation::checkInvariants(std::size_t index) {
   Machine& machine = machines[index];
   if (!machine.gateway || machine.frozen) {
     return;
@@ -245,7 +245,7 @@
   if (state) {
     config::Version const version{state->configurationEpoch, state->configurationSequence};
     if (version < gateway.version) {
-      complain(gateway.node + " slipped from " + gateway.version.text() + " to " + version.text());
+      addViolation(gateway.node + " goes back from " + gateway.version.text() + " to " + version.text());
     }
     gateway.version = version;
   }
@@ -258,35 +258,35 @@
       gateway.delivery->status(network.now()).freshness == distribution::ConfigFreshness::confirmedByMajority ? 1 : 0;
   for (std::pair<config::Version const, TimePoint> const& entry : acknowledged_) {
     if (entry.first > gateway.version && network.now() > entry.second + inForceMs) {
-      complain(gateway.node + " serves under " + gateway.version.text() + " later than 2.1 s after " +
-               entry.first.text() + " was acknowledged");
+      addViolation(gateway.node + " serves under " + gateway.version.text() + " later than 2.1 s after " +
+                   entry.first.text() + " was acknowledged");
     }
   }
   for (std::pair<std::string const, std::pair<control::ZoneOrder, TimePoint>> const& entry : orderedZones_) {
     std::vector<std::string> const& zones = state->evacuatedZones;
     bool const evacuated = std::find(zones.begin(), zones.end(), entry.first) != zones.end();
     if (evacuated != entry.second.first.evacuated && network.now() > entry.second.second + inForceMs) {
-      complain(gateway.node + " serves with " + entry.first + (evacuated ? " emptied" : " in use") +
-               " later than 2.1 s after the opposite was acknowledged");
+      addViolation(gateway.node + " serves with " + entry.first + (evacuated ? " evacuated" : " in use") +
+                   " later than 2.1 s after the opposite was acknowledged");
     }
   }
 }
 
-void FleetSimulation::tick(std::size_t index, std::uint64_t life) {
+void FleetSimulation::tick(std::size_t index, std::uint64_t incarnation) {
   Machine& machine = machines[index];
-  if (!machine.up || machine.life != life) {
+  if (!machine.up || machine.incarnation != incarnation) {
     return;
   }
   if (machine.links.processorFreeAt() > network.now()) {
     network.after(
         std::chrono::duration_cast<std::chrono::microseconds>(machine.links.processorFreeAt() - network.now()) +
             std::chrono::microseconds(1),
-        [this, index, life] { tick(index, life); });
+        [this, index, incarnation] { tick(index, incarnation); });
     return;
   }
   if (!machine.frozen) {
     if (machine.gateway) {
-      follow(index, machine.gateway->delivery->tick(network.now(), peers()));
+      execute(index, machine.gateway->delivery->tick(network.now(), peers()));
     } else {
       replication::KnownMembers known;
       known.mayFound = machine.controller->mayFound;
@@ -297,28 +297,29 @@
       }
       step(index, known);
       step(index, replication::Tick{});
-      drivePlane(index, control::Tick{});
+      driveConfigService(index, control::Tick{});
     }
-    judge(index);
+    checkInvariants(index);
   }
-  network.after(Ms(20), [this, index, life] { tick(index, life); });
+  network.after(Ms(20), [this, index, incarnation] { tick(index, incarnation); });
 }
 
-void FleetSimulation::follow(std::size_t index, distribution::ConfigDeliveryStep const& step) {
+void FleetSimulation::execute(std::size_t index, distribution::ConfigDeliveryStep const& step) {
   for (distribution::Outgoing const& outgoing : step.sends) {
     send(index, outgoing.address, outgoing.message);
   }
-  judge(index);
+  checkInvariants(index);
 }
 
-void FleetSimulation::limit(MachineCapacity const& capacity) {
+void FleetSimulation::limitCapacity(MachineCapacity const& capacity) {
   for (Machine& machine : machines) {
     machine.links = SimulatedLinks(capacity);
   }
 }
 
-void FleetSimulation::weigh(std::size_t from, std::size_t to, std::size_t bytes, messages::Message const& message) {
-  if (!weighs) {
+void FleetSimulation::measureTraffic(std::size_t from, std::size_t to, std::size_t bytes,
+                                     messages::Message const& message) {
+  if (!measuresTraffic) {
     return;
   }
   if (machines[to].zone() != machines[from].zone()) {
@@ -336,40 +337,42 @@
     if (machines[to].address() != address || cuts_.contains({from, to}) || !machines[to].up) {
       continue;
     }
-    std::size_t const bytes = weighs || links.limited() ? sizeOf(message) : 0;
-    weigh(from, to, bytes, message);
+    std::size_t const bytes = measuresTraffic || links.limited() ? sizeOf(message) : 0;
+    measureTraffic(from, to, bytes, message);
     if (links.limited() && links.overflows(network.now())) {
       ++lost;
       continue;
     }
     TimePoint const left = links.limited() ? links.send(network.now(), bytes) : network.now();
-    std::uint64_t const life = machines[to].life;
+    std::uint64_t const incarnation = machines[to].incarnation;
     std::chrono::microseconds const wait(200 + network.roll(network.chance(0.01) ? 300'000 : 3'000));
     std::chrono::microseconds const draining =
         std::chrono::duration_cast<std::chrono::microseconds>(left - network.now());
-    network.after(draining + wait, [this, to, life, from, bytes, message] { arrive(to, life, from, bytes, message); });
+    network.after(draining + wait,
+                  [this, to, incarnation, from, bytes, message] { arrive(to, incarnation, from, bytes, message); });
   }
 }
 
-void FleetSimulation::arrive(std::size_t to, std::uint64_t life, std::size_t from, std::size_t bytes,
+void FleetSimulation::arrive(std::size_t to, std::uint64_t incarnation, std::size_t from, std::size_t bytes,
                              messages::Message const& message) {
   SimulatedLinks& links = machines[to].links;
   if (!links.limited()) {
-    receive(to, life, from, message);
+    receive(to, incarnation, from, message);
     return;
   }
   TimePoint const done = links.receive(network.now(), bytes);
   network.after(std::chrono::duration_cast<std::chrono::microseconds>(done - network.now()),
-                [this, to, life, from, message] { receive(to, life, from, message); });
+                [this, to, incarnation, from, message] { receive(to, incarnation, from, message); });
 }
 
-void FleetSimulation::receive(std::size_t to, std::uint64_t life, std::size_t from, messages::Message const& message) {
+void FleetSimulation::receive(std::size_t to, std::uint64_t incarnation, std::size_t from,
+                              messages::Message const& message) {
   Machine& machine = machines[to];
-  if (!machine.up || machine.life != life) {
+  if (!machine.up || machine.incarnation != incarnation) {
     return;
   }
   if (machine.frozen) {
-    machine.thawWork.push_back([this, to, from, message] { deliver(to, from, message); });
+    machine.deferredWork.push_back([this, to, from, message] { deliver(to, from, message); });
   } else {
     deliver(to, from, message);
   }
@@ -380,14 +383,14 @@
   std::string const address = machines[from].address();
   if (machine.gateway) {
     if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&message)) {
-      follow(to, machine.gateway->delivery->onMessage(network.now(), address, *poll));
+      execute(to, machine.gateway->delivery->onMessage(network.now(), address, *poll));
     } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&message)) {
-      follow(to, machine.gateway->delivery->onMessage(network.now(), address, *response));
+      execute(to, machine.gateway->delivery->onMessage(network.now(), address, *response));
     } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&message)) {
-      follow(to, machine.gateway->delivery->onMessage(network.now(), address, *update));
+      execute(to, machine.gateway->delivery->onMessage(network.now(), address, *update));
     }
   } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&message)) {
-    drivePlane(to, control::StateRequestReceived{address, *poll});
+    driveConfigService(to, control::StateRequestReceived{address, *poll});
   } else if (machines[from].controller) {
     step(to, replication::MessageReceived{machines[from].controller->id, address, message});
   }
@@ -395,15 +398,15 @@
 
 void FleetSimulation::step(std::size_t index, replication::GroupEvent const& event) {
   SimulatedController& controller = *machines[index].controller;
-  std::uint64_t const life = machines[index].life;
+  std::uint64_t const incarnation = machines[index].incarnation;
   for (replication::GroupEffect const& effect : controller.group->step(network.now(), event)) {
     if (replication::Send const* const outgoing = std::get_if<replication::Send>(&effect)) {
       send(index, outgoing->address, outgoing->message);
     } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
       controller.unsynced.emplace_back(persist->token, persist->puts);
       std::uint64_t const token = persist->token;
-      network.after(std::chrono::microseconds(500 + network.roll(5'000)), [this, index, life, token] {
-        if (!machines[index].up || machines[index].life != life) {
+      network.after(std::chrono::microseconds(500 + network.roll(5'000)), [this, index, incarnation, token] {
+        if (!machines[index].up || machines[index].incarnation != incarnation) {
           return;
         }
         SimulatedController& owner = *machines[index].controller;
@@ -417,37 +420,38 @@
           for (std::pair<std::string, std::string> const& put : done.second) {
             owner.disk[put.first] = put.second;
           }
-          std::function<void()> const tell = [this, index, done] {
+          std::function<void()> const reportDone = [this, index, done] {
             step(index, replication::PersistFinished{done.first, true});
           };
           if (machines[index].frozen) {
-            machines[index].thawWork.push_back(tell);
+            machines[index].deferredWork.push_back(reportDone);
           } else {
-            tell();
+            reportDone();
           }
         }
       });
     } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
-      drivePlane(index, *committed);
+      driveConfigService(index, *committed);
     } else if (replication::OutcomeUnknown const* const outcomeUnknown =
                    std::get_if<replication::OutcomeUnknown>(&effect)) {
-      drivePlane(index, *outcomeUnknown);
+      driveConfigService(index, *outcomeUnknown);
     } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
-      drivePlane(index, *active);
+      driveConfigService(index, *active);
     } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
-      drivePlane(index, replication::SteppedDown{});
+      driveConfigService(index, replication::SteppedDown{});
     }
   }
 }
 
-void FleetSimulation::drivePlane(std::size_t index, control::ConfigServiceEvent const& event) {
+void FleetSimulation::driveConfigService(std::size_t index, control::ConfigServiceEvent const& event) {
   SimulatedController& controller = *machines[index].controller;
-  for (control::ConfigServiceEffect const& effect : controller.plane->step(network.now(), *controller.group, event)) {
-    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
-      step(index, *offer);
+  for (control::ConfigServiceEffect const& effect :
+       controller.configService->step(network.now(), *controller.group, event)) {
+    if (replication::Proposal const* const proposal = std::get_if<replication::Proposal>(&effect)) {
+      step(index, *proposal);
     } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
       if (!answers.emplace(decided->ticket, Answered{*decided, network.now()}).second) {
-        complain(controller.id + " answers order " + std::to_string(decided->ticket) + " a second time");
+        addViolation(controller.id + " answers order " + std::to_string(decided->ticket) + " a second time");
       }
       if (onDecided) {
         onDecided(*decided);
@@ -461,7 +465,7 @@
       }
     } else if (control::ConfigurationRead const* const back = std::get_if<control::ConfigurationRead>(&effect)) {
       if (back->version < newestAcknowledged()) {
-        complain(controller.id + " reads back " + back->version.text() + " after " + newestAcknowledged().text());
+        addViolation(controller.id + " reads back " + back->version.text() + " after " + newestAcknowledged().text());
       }
       readBacks[back->ticket] = *back;
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
@@ -474,24 +478,25 @@
   }
   if (onPublished && (std::holds_alternative<replication::Committed>(event) ||
                       std::holds_alternative<replication::BecamePrimary>(event))) {
-    onPublished(controller.plane->published());
+    onPublished(controller.configService->published());
   }
 }
 
 void FleetSimulation::evaluate(std::size_t index, control::EvaluateOrder const& order) {
-  control::OrderEvaluated const evaluated{order.token, machines[index].controller->plane->evaluator().evaluate(order)};
+  control::OrderEvaluated const evaluated{order.token,
+                                          machines[index].controller->configService->evaluator().evaluate(order)};
   if (evaluationTime == Ms(0)) {
-    drivePlane(index, evaluated);
+    driveConfigService(index, evaluated);
     return;
   }
-  std::uint64_t const life = machines[index].life;
-  network.after(evaluationTime, [this, index, life, evaluated] {
+  std::uint64_t const incarnation = machines[index].incarnation;
+  network.after(evaluationTime, [this, index, incarnation, evaluated] {
     Machine& machine = machines[index];
-    if (!machine.up || machine.life != life) {
+    if (!machine.up || machine.incarnation != incarnation) {
       return;
     }
-    std::function<void()> const report = [this, index, evaluated] { drivePlane(index, evaluated); };
-    machine.frozen ? machine.thawWork.push_back(report) : report();
+    std::function<void()> const report = [this, index, evaluated] { driveConfigService(index, evaluated); };
+    machine.frozen ? machine.deferredWork.push_back(report) : report();
   });
 }
 
@@ -500,21 +505,21 @@
   if (change != nullptr && change->zone) {
     orders_.emplace(change->ticket, *change->zone);
   }
-  drivePlane(index, event);
+  driveConfigService(index, event);
 }
 
 void FleetSimulation::beginShutdown(std::size_t index) {
-  drivePlane(index, control::BeginShutdown{});
+  driveConfigService(index, control::BeginShutdown{});
   step(index, replication::BeginShutdown{});
 }
 
-std::optional<std::uint64_t> FleetSimulation::forget(std::vector<std::string> const& nodes) {
+std::optional<std::uint64_t> FleetSimulation::removeNodes(std::vector<std::string> const& nodes) {
   std::optional<std::size_t> const index = primary();
   if (!index) {
     return std::nullopt;
   }
   std::uint64_t const ticket = ++lastTicket_;
-  drivePlane(*index, control::RemoveNodes{ticket, nodes, network.now() + Ms(8000)});
+  driveConfigService(*index, control::RemoveNodes{ticket, nodes, network.now() + Ms(8000)});
   return ticket;
 }
 
@@ -543,7 +548,7 @@
 
 std::uint64_t FleetSimulation::read(std::size_t index, Ms wait) {
   std::uint64_t const ticket = ++lastTicket_;
-  drivePlane(index, control::Read{ticket, network.now() + wait});
+  driveConfigService(index, control::Read{ticket, network.now() + wait});
   return ticket;
 }
 
@@ -556,7 +561,7 @@
   if (change.zone) {
     orders_.emplace(change.ticket, *change.zone);
   }
-  drivePlane(*index, change);
+  driveConfigService(*index, change);
   return change.ticket;
 }
 
--- a/test_support/simulator/fleet_simulation.h
+++ b/test_support/simulator/fleet_simulation.h
@@ -29,7 +29,7 @@
   std::string address;
   std::string zone;
   std::optional<replication::ReplicationGroup> group;
-  std::optional<control::ConfigService> plane;
+  std::optional<control::ConfigService> configService;
   std::map<std::string, std::string> disk;
   std::vector<std::pair<std::uint64_t, replication::Puts>> unsynced;
   bool diskFails = false;
@@ -44,15 +44,15 @@
 struct Machine {
   std::optional<SimulatedGateway> gateway;
   std::optional<SimulatedController> controller;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   bool up = false;
   bool frozen = false;
   bool hostLost = false;
-  std::vector<std::function<void()>> thawWork;
+  std::vector<std::function<void()>> deferredWork;
   SimulatedLinks links;
   std::string const& zone() const { return gateway ? gateway->zone : controller->zone; }
   std::string address() const { return gateway ? gateway->address : controller->address; }
-  bool isActive() const { return controller->plane->active() && controller->group->active(); }
+  bool isActive() const { return controller->configService->active() && controller->group->active(); }
 };
 
 struct Answered {
@@ -66,25 +66,25 @@
 
   SimulatedNetwork network;
   std::vector<Machine> machines;
-  std::vector<std::string> complaints;
+  std::vector<std::string> violations;
   std::map<std::uint64_t, Answered> answers;
   std::map<std::uint64_t, control::ConfigurationRead> readBacks;
   config::ConfigSchema schema = config::nativeConfigSchema();
-  /// How long a controller takes to find out what an order means.
+  /// How long a controller takes to evaluate an order.
   Ms evaluationTime{0};
   std::size_t served = 0;
   std::size_t withheld = 0;
   std::size_t confirmedByMajority = 0;
   std::size_t messages = 0;
-  bool weighs = false;
+  bool measuresTraffic = false;
   std::map<std::size_t, std::size_t> bytesAcrossZones;
-  /// While the simulation weighs: what was sent, by kind of message.
+  /// Messages and bytes sent by kind of message, counted while measuresTraffic is set.
   std::map<std::string, Traffic> traffic;
   std::size_t lost = 0;
   std::chrono::milliseconds slowestMs{0};
 
-  /// Gives every machine, from now on, a link and a processor of this capacity.
-  void limit(MachineCapacity const& capacity);
+  /// Limits the link and the processor of every machine to this capacity from now on.
+  void limitCapacity(MachineCapacity const& capacity);
   void startAll();
   void start(std::size_t index);
   void kill(std::size_t index);
@@ -96,30 +96,30 @@
   void thaw(std::size_t index);
   void cut(std::size_t from, std::size_t to) { cuts_.emplace(from, to); }
   void split(std::set<std::size_t> const& side);
-  void mendAll() { cuts_.clear(); }
+  void healLinks() { cuts_.clear(); }
   void run(Ms time) { network.runUntil(network.now() + time); }
   std::optional<std::uint64_t> change(std::string const& id, std::string const& body,
                                       std::optional<config::Version> base = {}, bool patch = false);
   std::optional<std::uint64_t> change(control::Change change);
   std::optional<std::uint64_t> order(std::string const& zone, bool evacuated);
   std::uint64_t read(std::size_t index, Ms wait);
-  /// Hands an operator's event to the configuration service of one machine, whether it is primary or not.
+  /// Passes an operator's event to the configuration service of one machine, whether or not it is primary.
   void submit(std::size_t index, control::ConfigServiceEvent const& event);
-  /// An order that contradicts the last one acknowledged for this zone is on its way.
-  void expectNothingOf(std::string const& zone) { orderedZones_.erase(zone); }
+  /// Stops checking this zone: an order that contradicts the last acknowledged one is in flight.
+  void stopCheckingZone(std::string const& zone) { orderedZones_.erase(zone); }
   void submitToGroup(std::size_t index, replication::GroupEvent const& event) { step(index, event); }
   std::uint64_t nextTicket() { return ++lastTicket_; }
-  /// Told each answer of a configuration service, and each state that one publishes.
+  /// Callbacks for each answer of a configuration service and each state that one publishes.
   std::function<void(control::OrderOutcome const&)> onDecided;
   std::function<void(messages::State const&)> onPublished;
-  /// Tells a controller that its process will be stopped, as SIGTERM does.
+  /// Begins the shutdown of a controller, as SIGTERM does.
   void beginShutdown(std::size_t index);
   bool isCut(std::size_t from, std::size_t to) const { return cuts_.contains({from, to}); }
-  std::optional<std::uint64_t> forget(std::vector<std::string> const& nodes);
+  std::optional<std::uint64_t> removeNodes(std::vector<std::string> const& nodes);
   std::optional<std::size_t> primary() const;
   bool serves(std::size_t index) const;
   std::size_t serving() const;
-  std::string picture() const;
+  std::string describeState() const;
   bool awaitServing(std::size_t wanted, Ms within);
   config::Version newestAcknowledged() const {
     return acknowledged_.empty() ? config::Version{} : acknowledged_.rbegin()->first;
@@ -127,19 +127,19 @@
 
  private:
   void step(std::size_t index, replication::GroupEvent const& event);
-  void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
+  void driveConfigService(std::size_t index, control::ConfigServiceEvent const& event);
   void send(std::size_t from, std::string const& address, messages::Message const& message);
   void evaluate(std::size_t index, control::EvaluateOrder const& order);
   void probe(std::size_t from, control::Probe const& probe);
-  void arrive(std::size_t to, std::uint64_t life, std::size_t from, std::size_t bytes,
+  void arrive(std::size_t to, std::uint64_t incarnation, std::size_t from, std::size_t bytes,
               messages::Message const& message);
-  void receive(std::size_t to, std::uint64_t life, std::size_t from, messages::Message const& message);
+  void receive(std::size_t to, std::uint64_t incarnation, std::size_t from, messages::Message const& message);
   void deliver(std::size_t to, std::size_t from, messages::Message const& message);
-  void weigh(std::size_t from, std::size_t to, std::size_t bytes, messages::Message const& message);
-  void follow(std::size_t index, distribution::ConfigDeliveryStep const& step);
-  void tick(std::size_t index, std::uint64_t life);
-  void complain(std::string const& text);
-  void judge(std::size_t index);
+  void measureTraffic(std::size_t from, std::size_t to, std::size_t bytes, messages::Message const& message);
+  void execute(std::size_t index, distribution::ConfigDeliveryStep const& step);
+  void tick(std::size_t index, std::uint64_t incarnation);
+  void addViolation(std::string const& text);
+  void checkInvariants(std::size_t index);
   std::vector<messages::Peer> peers() const;
 
   std::vector<std::string> founders_;
--- a/test_support/simulator/operator_simulation.cpp
+++ b/test_support/simulator/operator_simulation.cpp
@@ -59,7 +59,7 @@
     }
     atMachine(wanted.machine, [this, place, wanted, wait] { arrive(place, wanted, fleet_.network.now() + wait); });
   });
-  fleet_.network.after(wait + Ms(100), [this, place] { finish(place, Reply::silence); });
+  fleet_.network.after(wait + Ms(100), [this, place] { finish(place, Reply::none); });
   return place;
 }
 
@@ -70,9 +70,9 @@
   return *calls[call].reply;
 }
 
-Reply OperatorSimulation::insist(control::Change const& order, Ms within) {
+Reply OperatorSimulation::retryUntilDecided(control::Change const& order, Ms within) {
   TimePoint const end = fleet_.network.now() + within;
-  Reply reply = Reply::silence;
+  Reply reply = Reply::none;
   for (std::size_t turn = 0; fleet_.network.now() < end && !isDefinite(reply); ++turn) {
     reply = await(call({turn % fleet_.machines.size(), order}, Ms(900)));
     fleet_.run(Ms(50));
@@ -82,7 +82,7 @@
 
 void OperatorSimulation::atMachine(std::size_t machine, std::function<void()> work) {
   if (fleet_.machines[machine].frozen) {
-    fleet_.machines[machine].thawWork.push_back(std::move(work));
+    fleet_.machines[machine].deferredWork.push_back(std::move(work));
   } else {
     work();
   }
@@ -90,29 +90,29 @@
 
 void OperatorSimulation::arrive(std::size_t call, OperatorCall const& wanted, TimePoint deadline) {
   Machine const& machine = fleet_.machines[wanted.machine];
-  if (machine.controller && machine.controller->plane->active()) {
+  if (machine.controller && machine.controller->configService->active()) {
     control::Change order = wanted.order;
     order.deadline = deadline;
-    Visit visit;
-    visit.call = call;
-    visit.answerLost = wanted.answerLost;
-    carryOut(wanted.machine, order, visit);
+    ReplyRoute route;
+    route.call = call;
+    route.answerLost = wanted.answerLost;
+    carryOut(wanted.machine, order, route);
   } else {
     forward(wanted.machine, call, wanted, deadline);
   }
 }
 
-void OperatorSimulation::carryOut(std::size_t machine, control::Change order, Visit const& visit) {
+void OperatorSimulation::carryOut(std::size_t machine, control::Change order, ReplyRoute const& route) {
   order.ticket = fleet_.nextTicket();
-  visits_.emplace(order.ticket, visit).first->second.primary = machine;
+  routes_.emplace(order.ticket, route).first->second.primary = machine;
   fleet_.submit(machine, order);
 }
 
 OperatorSimulation::Forwarder& OperatorSimulation::forwarderOf(std::size_t machine) {
   Forwarder& forwarder = forwarders_[machine];
-  if (!forwarder.relay || forwarder.life != fleet_.machines[machine].life) {
+  if (!forwarder.relay || forwarder.incarnation != fleet_.machines[machine].incarnation) {
     forwarder = {};
-    forwarder.life = fleet_.machines[machine].life;
+    forwarder.incarnation = fleet_.machines[machine].incarnation;
     forwarder.relay.emplace(control::RelayOptions{}, 0);
   }
   return forwarder;
@@ -157,60 +157,61 @@
 
 void OperatorSimulation::send(std::size_t machine, control::RelaySend const& wanted) {
   control::Change order = forwarderOf(machine).orders.at(wanted.ticket).order;
-  Visit const visit{0, machine, fleet_.machines[machine].life, wanted.ticket, wanted.attempt, std::nullopt, false};
+  ReplyRoute const route{
+      0, machine, fleet_.machines[machine].incarnation, wanted.ticket, wanted.attempt, std::nullopt, false};
   Ms const left = std::chrono::duration_cast<Ms>(wanted.deadline - fleet_.network.now());
   for (std::size_t to = 0; to < fleet_.machines.size(); ++to) {
     if (fleet_.machines[to].address() != wanted.address || fleet_.isCut(machine, to)) {
       continue;
     }
-    fleet_.network.after(delay(), [this, to, order, visit, left] {
+    fleet_.network.after(delay(), [this, to, order, route, left] {
       if (!fleet_.machines[to].up) {
-        returnTo(visit, Reply::notRun, to);
+        sendReply(route, Reply::notRun, to);
         return;
       }
-      atMachine(to, [this, to, order, visit, left]() mutable {
-        if (fleet_.machines[to].controller && fleet_.machines[to].controller->plane->active()) {
+      atMachine(to, [this, to, order, route, left]() mutable {
+        if (fleet_.machines[to].controller && fleet_.machines[to].controller->configService->active()) {
           order.deadline = fleet_.network.now() + left;
-          carryOut(to, order, visit);
+          carryOut(to, order, route);
         } else {
-          returnTo(visit, Reply::notRun, to);
+          sendReply(route, Reply::notRun, to);
         }
       });
     });
   }
 }
 
-void OperatorSimulation::returnTo(Visit const& visit, Reply reply, std::size_t answering) {
-  if (fleet_.isCut(answering, visit.from)) {
+void OperatorSimulation::sendReply(ReplyRoute const& route, Reply reply, std::size_t answering) {
+  if (fleet_.isCut(answering, route.from)) {
     return;
   }
-  fleet_.network.after(delay(), [this, visit, reply] {
-    if (!fleet_.machines[visit.from].up || fleet_.machines[visit.from].life != visit.fromLife) {
+  fleet_.network.after(delay(), [this, route, reply] {
+    if (!fleet_.machines[route.from].up || fleet_.machines[route.from].incarnation != route.fromIncarnation) {
       return;
     }
-    atMachine(visit.from, [this, visit, reply] {
-      driveRelay(visit.from, control::RelayAttemptFinished{visit.relayTicket, visit.attempt, outcomeOf(reply)}, reply);
+    atMachine(route.from, [this, route, reply] {
+      driveRelay(route.from, control::RelayAttemptFinished{route.relayTicket, route.attempt, outcomeOf(reply)}, reply);
     });
   });
 }
 
 void OperatorSimulation::decided(control::OrderOutcome const& decided) {
-  std::map<std::uint64_t, Visit>::iterator const found = visits_.find(decided.ticket);
-  if (found == visits_.end()) {
+  std::map<std::uint64_t, ReplyRoute>::iterator const found = routes_.find(decided.ticket);
+  if (found == routes_.end()) {
     return;
   }
-  Visit const visit = found->second;
-  visits_.erase(found);
+  ReplyRoute const route = found->second;
+  routes_.erase(found);
   Reply const reply = replyOf(decided.verdict);
-  if (!visit.call) {
-    returnTo(visit, reply, visit.primary);
-  } else if (!visit.answerLost) {
-    fleet_.network.after(delay(), [this, call = *visit.call, reply] { finish(call, reply); });
+  if (!route.call) {
+    sendReply(route, reply, route.primary);
+  } else if (!route.answerLost) {
+    fleet_.network.after(delay(), [this, call = *route.call, reply] { finish(call, reply); });
   }
 }
 
 void OperatorSimulation::finish(std::size_t call, Reply reply) {
-  MadeCall& made = calls[call];
+  CallRecord& made = calls[call];
   if (!made.reply) {
     made.reply = reply;
     made.repliedAt = fleet_.network.now();
@@ -228,11 +229,11 @@
   fleet_.network.after(tickMs, [this] { tick(); });
 }
 
-std::vector<std::string> OperatorSimulation::judge() const {
+std::vector<std::string> OperatorSimulation::checkInvariants() const {
   std::vector<std::string> out;
   std::set<std::string> acknowledged;
   std::set<std::string> refused;
-  for (MadeCall const& made : calls) {
+  for (CallRecord const& made : calls) {
     if (made.reply == Reply::taken) {
       acknowledged.insert(made.order);
     } else if (made.reply == Reply::refused || made.reply == Reply::conflict) {
--- a/test_support/simulator/operator_simulation.h
+++ b/test_support/simulator/operator_simulation.h
@@ -11,8 +11,8 @@
 
 namespace limeramp::simulator {
 
-/// What the caller of an order has seen of one call.
-enum class Reply { taken, refused, conflict, notRun, unknown, silence };
+/// The outcome of one call as its caller sees it; none if no reply arrived in time.
+enum class Reply { taken, refused, conflict, notRun, unknown, none };
 
 /// One call of an operator: the order, the machine that it goes to, and what the network does to the answer.
 struct OperatorCall {
@@ -21,8 +21,8 @@
   bool answerLost = false;
 };
 
-/// A call that was made and what came of it.
-struct MadeCall {
+/// A call and its reply.
+struct CallRecord {
   std::string order;
   std::size_t machine = 0;
   TimePoint began{};
@@ -30,53 +30,55 @@
   TimePoint repliedAt{};
 };
 
-/// Operators of a simulated fleet. Any machine can be called: the primary carries the order out, the others forward it
-/// with the product's own relay. Calls and forwarded calls need both directions of the link between two machines; an
+/// Operators of a simulated fleet. Any machine can be called: the primary executes the order, the others forward it
+/// through control::Relay. Calls and forwarded calls need both directions of the link between two machines; an
 /// operator itself reaches every running machine at all times, on either side of a cut.
 ///
-/// Orders are compared by Change::id. `judge` checks the history of all calls against what was ever published.
+/// Orders are identified by Change::id. `checkInvariants` compares the history of all calls with every published state.
 class OperatorSimulation {
  public:
   explicit OperatorSimulation(FleetSimulation& fleet);
 
-  /// Makes one call that waits `wait` for its answer; returns its place in `calls`.
+  /// Makes one call that waits `wait` for its answer; returns its index in `calls`.
   std::size_t call(OperatorCall const& wanted, Ms wait);
-  /// Runs the fleet until the call has its reply.
+  /// Runs the fleet until the call has a reply or has timed out.
   Reply await(std::size_t call);
-  /// Repeats the order at one machine after the other until one takes it or refuses it definitely.
-  Reply insist(control::Change const& order, Ms within);
+  /// Retries the order round robin over the machines until the reply is taken, refused or conflict, or until `within`
+  /// has passed.
+  Reply retryUntilDecided(control::Change const& order, Ms within);
 
-  /// Every rule that the history of calls breaks: of two changes on one revision both were acknowledged; an order was
-  /// refused although it was taken, before or after; an order was refused in one answer and acknowledged in another.
-  std::vector<std::string> judge() const;
+  /// Returns every violation in the history of calls: an acknowledged order was never in force; two changes on one
+  /// base revision were both acknowledged; an order was refused although it was in force before or after; an order was
+  /// refused in one answer and acknowledged in another.
+  std::vector<std::string> checkInvariants() const;
   bool wasPublished(std::string const& order) const { return published_.contains(order); }
 
-  std::vector<MadeCall> calls;
+  std::vector<CallRecord> calls;
 
  private:
-  /// Where the answer of an order that a primary carries out goes: to a caller, or to the machine that forwarded it.
-  struct Visit {
+  /// The destination of the answer to an order: the caller, or the machine that forwarded the order.
+  struct ReplyRoute {
     std::size_t primary = 0;
     std::size_t from = 0;
-    std::uint64_t fromLife = 0;
+    std::uint64_t fromIncarnation = 0;
     std::uint64_t relayTicket = 0;
     std::uint64_t attempt = 0;
     std::optional<std::size_t> call;
     bool answerLost = false;
   };
   struct Forwarder {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::optional<control::Relay> relay;
     std::map<std::uint64_t, std::size_t> calls;
     std::map<std::uint64_t, OperatorCall> orders;
   };
 
   void arrive(std::size_t call, OperatorCall const& wanted, TimePoint deadline);
-  void carryOut(std::size_t machine, control::Change order, Visit const& visit);
+  void carryOut(std::size_t machine, control::Change order, ReplyRoute const& route);
   void forward(std::size_t machine, std::size_t call, OperatorCall const& wanted, TimePoint deadline);
   void driveRelay(std::size_t machine, control::RelayEvent const& event, std::optional<Reply> reply = {});
   void send(std::size_t machine, control::RelaySend const& wanted);
-  void returnTo(Visit const& visit, Reply reply, std::size_t answering);
+  void sendReply(ReplyRoute const& route, Reply reply, std::size_t answering);
   void decided(control::OrderOutcome const& decided);
   void finish(std::size_t call, Reply reply);
   void tick();
@@ -86,7 +88,7 @@
   std::chrono::microseconds delay() { return std::chrono::microseconds(200 + fleet_.network.roll(3'000)); }
 
   FleetSimulation& fleet_;
-  std::map<std::uint64_t, Visit> visits_;
+  std::map<std::uint64_t, ReplyRoute> routes_;
   std::map<std::size_t, Forwarder> forwarders_;
   std::map<std::string, control::Change> orders_;
   std::set<std::string> published_;
--- a/test_support/simulator/replication_simulation.cpp
+++ b/test_support/simulator/replication_simulation.cpp
@@ -26,11 +26,11 @@
   node.frozen = false;
   node.diskStuck = false;
   node.storeFailed = false;
-  node.thawWork.clear();
+  node.deferredWork.clear();
   node.unsynced.clear();
-  ++node.life;
+  ++node.incarnation;
   step(index, replication::Start{{node.id, node.address, node.zone}, node.disk, network.random()(), false, founders});
-  tick(index, node.life);
+  tick(index, node.incarnation);
 }
 
 void ReplicationSimulation::kill(std::size_t index, bool powerLoss) {
@@ -44,7 +44,7 @@
   }
   node.unsynced.clear();
   node.up = false;
-  ++node.life;
+  ++node.incarnation;
 }
 
 void ReplicationSimulation::wipeInPlace(std::size_t index) {
@@ -68,16 +68,16 @@
     return;
   }
   node.frozen = false;
-  std::vector<std::function<void()>> const work = std::move(node.thawWork);
-  node.thawWork.clear();
-  for (std::function<void()> const& one : work) {
-    one();
+  std::vector<std::function<void()>> const work = std::move(node.deferredWork);
+  node.deferredWork.clear();
+  for (std::function<void()> const& task : work) {
+    task();
   }
 }
 
-void ReplicationSimulation::tick(std::size_t index, std::uint64_t life) {
+void ReplicationSimulation::tick(std::size_t index, std::uint64_t incarnation) {
   SimulatedMember& node = nodes[index];
-  if (!node.up || node.life != life) {
+  if (!node.up || node.incarnation != incarnation) {
     return;
   }
   if (!node.frozen) {
@@ -91,12 +91,12 @@
     step(index, known);
     step(index, replication::Tick{});
   }
-  network.after(Ms(20), [this, index, life] { tick(index, life); });
+  network.after(Ms(20), [this, index, incarnation] { tick(index, incarnation); });
 }
 
 void ReplicationSimulation::step(std::size_t index, replication::GroupEvent const& event) {
   for (replication::GroupEffect const& effect : nodes[index].group.step(network.now(), event)) {
-    carry(index, effect);
+    execute(index, effect);
   }
   checkLeadershipConfirmation();
 }
@@ -105,7 +105,7 @@
   for (SimulatedMember const& node : nodes) {
     messages::EpochRecord const& decided = node.group.decided();
     if (decided.epoch > 0 && !(records_.emplace(decided.epoch, decided).first->second == decided)) {
-      complaints.push_back(node.id + " holds a second record of epoch " + std::to_string(decided.epoch));
+      violations.push_back(node.id + " holds a second record of epoch " + std::to_string(decided.epoch));
     }
     std::optional<TimePoint> const leadershipConfirmedAt = node.group.leadershipConfirmedAt();
     if (!node.up || !leadershipConfirmedAt) {
@@ -113,37 +113,38 @@
     }
     for (std::pair<std::uint64_t const, TimePoint> const& entry : firstCommit_) {
       if (entry.first > node.group.decided().epoch && entry.second < *leadershipConfirmedAt) {
-        complaints.push_back(node.id + " claims authority after epoch " + std::to_string(entry.first) + " committed");
+        violations.push_back(node.id + " claims leadership after epoch " + std::to_string(entry.first) + " committed");
       }
     }
   }
 }
 
-void ReplicationSimulation::witness(std::size_t index, messages::State const& state, std::string const& what) {
+void ReplicationSimulation::checkAgainstCommitted(std::size_t index, messages::State const& state,
+                                                  std::string const& what) {
   if (!state.document.starts_with(committed_) && !committed_.starts_with(state.document)) {
-    complaints.push_back(nodes[index].id + " " + what + " '" + state.document + "' without '" + committed_ + "'");
+    violations.push_back(nodes[index].id + " " + what + " '" + state.document + "' without '" + committed_ + "'");
   }
 }
 
-void ReplicationSimulation::carry(std::size_t index, replication::GroupEffect const& effect) {
-  std::uint64_t const life = nodes[index].life;
+void ReplicationSimulation::execute(std::size_t index, replication::GroupEffect const& effect) {
+  std::uint64_t const incarnation = nodes[index].incarnation;
   if (replication::Send const* const send = std::get_if<replication::Send>(&effect)) {
     for (std::size_t to = 0; to < nodes.size(); ++to) {
       if (nodes[to].address != send->address || cuts_.contains({index, to}) || network.chance(loss_)) {
         continue;
       }
       replication::MessageReceived const event{nodes[index].id, nodes[index].address, send->message};
-      std::uint64_t const target = nodes[to].life;
+      std::uint64_t const target = nodes[to].incarnation;
       std::size_t const copies = network.chance(loss_ / 2) ? 2 : 1;
       for (std::size_t copy = 0; copy < copies; ++copy) {
         std::chrono::microseconds const wait(200 + network.roll(network.chance(0.02) ? 400'000 : 4'000));
         network.after(wait, [this, to, target, event] {
           SimulatedMember& node = nodes[to];
-          if (!node.up || node.life != target) {
+          if (!node.up || node.incarnation != target) {
             return;
           }
           if (node.frozen) {
-            node.thawWork.push_back([this, to, event] { step(to, event); });
+            node.deferredWork.push_back([this, to, event] { step(to, event); });
           } else {
             step(to, event);
           }
@@ -153,36 +154,36 @@
   } else if (replication::Persist const* const persist = std::get_if<replication::Persist>(&effect)) {
     nodes[index].unsynced.push_back(*persist);
     std::uint64_t const token = persist->token;
-    std::function<void()> const finish = [this, index, life, token] {
+    std::function<void()> const finish = [this, index, incarnation, token] {
       SimulatedMember& node = nodes[index];
-      if (!node.up || node.life != life || node.diskStuck) {
+      if (!node.up || node.incarnation != incarnation || node.diskStuck) {
         return;
       }
       while (!node.unsynced.empty() && node.unsynced.front().token <= token) {
         replication::Persist const done = std::move(node.unsynced.front());
         node.unsynced.erase(node.unsynced.begin());
         finishWrite(index, done);
-        if (node.life != life) {
+        if (node.incarnation != incarnation) {
           return;
         }
       }
     };
     network.after(std::chrono::microseconds(500 + network.roll(network.chance(0.05) ? 300'000 : 6'000)), finish);
   } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
-    witness(index, committed->state, "commits");
+    checkAgainstCommitted(index, committed->state, "commits");
     committed_ = std::max(committed_, committed->state.document,
                           [](std::string const& left, std::string const& right) { return left.size() < right.size(); });
     firstCommit_.emplace(committed->state.epoch, network.now());
     ++commits;
   } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
-    witness(index, active->state, "begins with");
+    checkAgainstCommitted(index, active->state, "begins with");
     fleets.insert(nodes[index].group.decided().fleet);
     ++takeovers;
   } else if (replication::NewGroupForced const* const newGroupForced =
                  std::get_if<replication::NewGroupForced>(&effect)) {
     refusal_ = newGroupForced->refusal;
   } else if (std::holds_alternative<replication::OutcomeUnknown>(effect)) {
-    ++doubts;
+    ++unknownOutcomes;
   }
 }
 
@@ -190,7 +191,7 @@
   SimulatedMember& node = nodes[index];
   bool const taken = write.rewrite || !node.storeFailed;
   bool const good = taken && !node.diskFull;
-  // Of a write that fails because of the disk nobody knows whether it is on it.
+  // A write that fails because of a full disk may or may not have reached the disk.
   if (good || (taken && network.chance(0.5))) {
     for (std::pair<std::string, std::string> const& put : write.puts) {
       node.disk[put.first] = put.second;
@@ -199,7 +200,7 @@
   node.storeFailed = !good;
   replication::PersistFinished const finished{write.token, good};
   if (node.frozen) {
-    node.thawWork.push_back([this, index, finished] { step(index, finished); });
+    node.deferredWork.push_back([this, index, finished] { step(index, finished); });
   } else {
     step(index, finished);
   }
@@ -212,7 +213,7 @@
   return refusal_;
 }
 
-void ReplicationSimulation::offer() {
+void ReplicationSimulation::proposeChange() {
   for (std::size_t index = 0; index < nodes.size(); ++index) {
     SimulatedMember& node = nodes[index];
     if (node.up && !node.frozen && node.group.active() && !node.group.busy()) {
--- a/test_support/simulator/replication_simulation.h
+++ b/test_support/simulator/replication_simulation.h
@@ -17,16 +17,16 @@
   replication::ReplicationGroup group{replication::ReplicationOptions{}};
   std::map<std::string, std::string> disk;
   std::vector<replication::Persist> unsynced;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   bool up = false;
   bool mayFound = true;
   bool frozen = false;
   bool diskStuck = false;
-  /// The disk refuses every write: a fault of the machine, so it outlasts the process.
+  /// The disk refuses every write. This is a fault of the machine, so it survives a restart of the process.
   bool diskFull = false;
-  /// A write of this process failed, so its store takes no more before a rewrite, as storage::RecordStore does.
+  /// A write of this process failed: the store rejects all writes until a rewrite, as storage::RecordStore does.
   bool storeFailed = false;
-  std::vector<std::function<void()>> thawWork;
+  std::vector<std::function<void()>> deferredWork;
   std::string word;
 };
 
@@ -36,9 +36,9 @@
 
   SimulatedNetwork network;
   std::vector<SimulatedMember> nodes;
-  std::vector<std::string> complaints;
+  std::vector<std::string> violations;
   std::size_t commits = 0;
-  std::size_t doubts = 0;
+  std::size_t unknownOutcomes = 0;
   std::size_t takeovers = 0;
   std::set<std::string> fleets;
   std::vector<std::string> founders;
@@ -50,8 +50,8 @@
   void freeze(std::size_t index);
   void thaw(std::size_t index);
   void cut(std::size_t from, std::size_t to) { cuts_.emplace(from, to); }
-  void mendAll() { cuts_.clear(); }
-  void offer();
+  void healLinks() { cuts_.clear(); }
+  void proposeChange();
   void beginShutdown(std::size_t index) { step(index, replication::BeginShutdown{}); }
   std::string forceNewGroup(std::size_t index, messages::State const& state, std::string const& fleet);
   std::optional<std::size_t> active() const;
@@ -61,9 +61,9 @@
  private:
   void step(std::size_t index, replication::GroupEvent const& event);
   void finishWrite(std::size_t index, replication::Persist const& write);
-  void carry(std::size_t index, replication::GroupEffect const& effect);
-  void tick(std::size_t index, std::uint64_t life);
-  void witness(std::size_t index, messages::State const& state, std::string const& what);
+  void execute(std::size_t index, replication::GroupEffect const& effect);
+  void tick(std::size_t index, std::uint64_t incarnation);
+  void checkAgainstCommitted(std::size_t index, messages::State const& state, std::string const& what);
   void checkLeadershipConfirmation();
 
   double loss_;
--- a/test_support/simulator/simulated_links.h
+++ b/test_support/simulator/simulated_links.h
@@ -5,15 +5,15 @@
 #include <algorithm>
 #include <cstddef>
 
-/// Machines of the simulation with a limited link and a small processor. A message waits for its turn on the sender's
-/// processor, on the sender's link, on the receiver's link and on the receiver's processor, in this order.
+/// Queueing model of machines with limited link bandwidth and processing rate. A message queues on the sender's
+/// processor, the sender's link, the receiver's link and the receiver's processor, in this order.
 namespace limeramp::simulator {
 
 struct MachineCapacity {
   std::size_t bytesPerSecond = 0;
   std::chrono::microseconds perMessage{0};
   std::chrono::microseconds perKilobyte{0};
-  /// A message that would wait longer than this on a link is lost.
+  /// A message is dropped if the backlog of the outgoing link is longer than this.
   Ms maxQueued{3000};
 };
 
@@ -23,9 +23,9 @@
 
   bool limited() const { return capacity_.bytesPerSecond > 0; }
   TimePoint processorFreeAt() const { return processorFreeAt_; }
-  /// When a message that is sent now has left the machine.
+  /// Returns when the last byte of a message sent now has left the machine.
   TimePoint send(TimePoint now, std::size_t bytes) { return transmit(compute(now, bytes), bytes, outFreeAt_); }
-  /// When a message whose last byte arrives now has been read and processed.
+  /// Returns when a message whose last byte arrives now has been read and processed.
   TimePoint receive(TimePoint now, std::size_t bytes) { return compute(transmit(now, bytes, inFreeAt_), bytes); }
   bool overflows(TimePoint now) const { return outFreeAt_ - now > capacity_.maxQueued; }
 
--- a/tests/catch_up_test.cpp
+++ b/tests/catch_up_test.cpp
@@ -85,7 +85,7 @@
 BytesPerChange measureBytesPerChange(FleetSimulation& fleet, std::size_t controllers, std::size_t gateways) {
   constexpr std::size_t changes = 10;
   BytesPerChange out;
-  fleet.weighs = true;
+  fleet.measuresTraffic = true;
   fleet.traffic.clear();
   for (std::size_t number = 0; number < changes; ++number) {
     EXPECT_TRUE(retryUntilTaken(fleet, "c" + std::to_string(number), largeDocument(number)));
@@ -105,7 +105,7 @@
     fleet.run(Ms(6000));
   }
   out.roster = stateBytes(fleet) / changes / gateways;
-  fleet.weighs = false;
+  fleet.measuresTraffic = false;
   return out;
 }
 
@@ -126,7 +126,7 @@
     EXPECT_LT(cost.configuration, documentBytes * 5 / 4);
     EXPECT_LT(cost.zoneOrder, 1500u);
     EXPECT_LT(cost.roster, 8000u);
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{});
   }
 }
 
@@ -317,7 +317,7 @@
     std::optional<messages::State> const& state = fleet.machines[index].gateway->delivery->state();
     std::optional<std::size_t> const primary = fleet.primary();
     if (state && primary && fleet.serves(index) &&
-        state->version() >= fleet.machines[*primary].controller->plane->published().version()) {
+        state->version() >= fleet.machines[*primary].controller->configService->published().version()) {
       break;
     }
     fleet.run(Ms(20));
@@ -326,11 +326,11 @@
 }
 
 /// Adds a complaint if a primary publishes a configuration older than the newest acknowledged one.
-void checkPublishedVersion(FleetSimulation& fleet, std::vector<std::string>& complaints,
+void checkPublishedVersion(FleetSimulation& fleet, std::vector<std::string>& violations,
                            messages::State const& published) {
   config::Version const version{published.configurationEpoch, published.configurationSequence};
   if (version < fleet.newestAcknowledged()) {
-    complaints.push_back("a primary publishes " + version.text() + " after " + fleet.newestAcknowledged().text());
+    violations.push_back("a primary publishes " + version.text() + " after " + fleet.newestAcknowledged().text());
   }
 }
 
@@ -340,8 +340,8 @@
   std::size_t takeovers = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     FleetSimulation fleet(seed, 4, 9, 3);
-    std::vector<std::string> complaints;
-    fleet.onPublished = [&](messages::State const& published) { checkPublishedVersion(fleet, complaints, published); };
+    std::vector<std::string> violations;
+    fleet.onPublished = [&](messages::State const& published) { checkPublishedVersion(fleet, violations, published); };
     ASSERT_TRUE(startServing(fleet, 9, smallDocument(0))) << seed;
     std::optional<std::size_t> stoppedController;
     std::set<std::size_t> stoppedGateways;
@@ -357,7 +357,7 @@
         fleet.start(gateway);
         Ms const needed = catchUpTime(fleet, gateway, Ms(10'000));
         slowest = std::max(slowest, needed);
-        EXPECT_LT(needed, Ms(5000)) << seed << " " << number << fleet.picture();
+        EXPECT_LT(needed, Ms(5000)) << seed << " " << number << fleet.describeState();
       } else if (stoppedGateways.size() < 3 && number % 5 == 0) {
         stoppedGateways.insert(gateway);
         fleet.kill(gateway);
@@ -380,10 +380,10 @@
         fleet.start(index);
       }
     }
-    EXPECT_TRUE(fleet.awaitServing(9, Ms(10'000))) << seed << fleet.picture();
+    EXPECT_TRUE(fleet.awaitServing(9, Ms(10'000))) << seed << fleet.describeState();
     EXPECT_TRUE(retryUntilTaken(fleet, "last", smallDocument(501))) << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
-    EXPECT_EQ(complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(violations, std::vector<std::string>{}) << seed;
     for (Machine const& machine : fleet.machines) {
       if (machine.gateway) {
         EXPECT_EQ(machine.gateway->delivery->status(fleet.network.now()).versionsBehind, 0u) << seed;
@@ -401,8 +401,8 @@
   constexpr std::size_t gateways = 6;
   FleetSimulation fleet(21, 3, gateways, 3);
   ASSERT_TRUE(startServing(fleet, gateways, smallDocument(0)));
-  fleet.limit({840'000, {}, {}});
-  fleet.weighs = true;
+  fleet.limitCapacity({840'000, {}, {}});
+  fleet.measuresTraffic = true;
   std::string document = largeDocument(1);
   document.resize(100'000, 'x');
   EXPECT_TRUE(retryUntilTaken(fleet, "large", document));
@@ -412,14 +412,14 @@
               document.size(), gateways);
   EXPECT_LT(bytes, document.size() * gateways * 3 / 2);
   EXPECT_EQ(fleet.lost, 0u);
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{});
 }
 
 TEST(CatchUp, EightyEightSmallMachinesStartOverSlowLinks) {
   constexpr std::size_t gateways = 85;
   FleetSimulation fleet(31, 3, gateways, 3);
-  fleet.limit({1'250'000, std::chrono::microseconds(1500), std::chrono::microseconds(80)});
-  fleet.weighs = true;
+  fleet.limitCapacity({1'250'000, std::chrono::microseconds(1500), std::chrono::microseconds(80)});
+  fleet.measuresTraffic = true;
   TimePoint const began = fleet.network.now();
   bool const serving = startServing(fleet, gateways, largeDocument(0));
   long const took = std::chrono::duration_cast<Ms>(fleet.network.now() - began).count();
@@ -432,9 +432,9 @@
       "seed 31: 88 machines, links of 10 Mbit/s, 1.5 ms a message: %s after %ld ms, %zu bytes sent, %zu "
       "messages lost\n",
       serving ? "all serve" : "NOT all serve", took, bytes, fleet.lost);
-  EXPECT_TRUE(serving) << fleet.picture();
+  EXPECT_TRUE(serving) << fleet.describeState();
   EXPECT_LT(took, 15'000);
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/control_traffic_test.cpp
+++ b/tests/control_traffic_test.cpp
@@ -60,10 +60,10 @@
 }
 
 void measure(FleetSimulation& fleet, Ms duration) {
-  fleet.weighs = true;
+  fleet.measuresTraffic = true;
   fleet.traffic.clear();
   fleet.run(duration);
-  fleet.weighs = false;
+  fleet.measuresTraffic = false;
 }
 
 void killControllers(FleetSimulation& fleet) {
@@ -98,7 +98,7 @@
   ASSERT_EQ(fleet.serving(), gateways);
   measure(fleet, Ms(4000));
   EXPECT_LT(totalBytes(fleet), before * 5 / 4) << describe(fleet);
-  EXPECT_TRUE(fleet.complaints.empty()) << fleet.complaints.front();
+  EXPECT_TRUE(fleet.violations.empty()) << fleet.violations.front();
 }
 
 TEST(ControlTraffic, StalenessChecksWithoutControllersStayWithinBounds) {
@@ -119,13 +119,13 @@
   EXPECT_LT(messages / nodeSeconds, 150u) << describe(fleet);
   EXPECT_LT(totalBytes(fleet) / nodeSeconds, 80'000u) << describe(fleet);
   EXPECT_EQ(fleet.serving(), gateways);
-  EXPECT_TRUE(fleet.complaints.empty()) << fleet.complaints.front();
+  EXPECT_TRUE(fleet.violations.empty()) << fleet.violations.front();
 }
 
 TEST(ControlTraffic, SmallMachinesStartedTogetherServeWithLowTraffic) {
   constexpr std::size_t gateways = 88;
   FleetSimulation fleet(13, controllers, gateways, zones);
-  fleet.limit(smallMachine());
+  fleet.limitCapacity(smallMachine());
   fleet.startAll();
   EXPECT_TRUE(fleet.awaitServing(gateways, Ms(8'000))) << fleet.serving() << " serve";
   ASSERT_TRUE(retryUntilTaken(fleet, "first", configurationBody(250)));
--- a/tests/delivery_test.cpp
+++ b/tests/delivery_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_EQ(back->revision, 9u);
   EXPECT_EQ(back->document, R"({"revision":9,"services":{"x":{},"z":{}}})");
   EXPECT_EQ(retryUntilTaken(fleet, "without a revision", 3), control::OrderStatus::taken);
-  EXPECT_EQ(fleet.machines[*fleet.primary()].controller->plane->published().revision, 9u);
+  EXPECT_EQ(fleet.machines[*fleet.primary()].controller->configService->published().revision, 9u);
 }
 
 TEST(Revisions, OfTwoOperatorsOnOneRevisionExactlyOneSucceeds) {
@@ -206,10 +206,10 @@
       }
     }
     fleet.freeze(old);
-    fleet.mendAll();
+    fleet.healLinks();
     fleet.thaw(old);
     readBack(fleet, old);
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -227,17 +227,18 @@
   }
   config::Configuration configuration;
   configuration.evacuatedZones = {"z2"};
-  EXPECT_EQ(control::evacuatedZones(fleet.machines[*fleet.primary()].controller->plane->published(), configuration),
-            (std::set<std::string>{"z1", "z2"}));
+  EXPECT_EQ(
+      control::evacuatedZones(fleet.machines[*fleet.primary()].controller->configService->published(), configuration),
+      (std::set<std::string>{"z1", "z2"}));
   for (int round = 0; round < 2; ++round) {
     ASSERT_EQ(verdictOf(fleet, fleet.order("z1", false)), control::OrderStatus::taken);
   }
-  EXPECT_TRUE(fleet.machines[*fleet.primary()].controller->plane->published().evacuatedZones.empty());
+  EXPECT_TRUE(fleet.machines[*fleet.primary()].controller->configService->published().evacuatedZones.empty());
   for (int number = 0; number < 100; ++number) {
     ASSERT_EQ(verdictOf(fleet, fleet.order("n" + std::to_string(number), true)), control::OrderStatus::taken) << number;
   }
   EXPECT_EQ(verdictOf(fleet, fleet.order("one more", true)), control::OrderStatus::refused);
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{});
 }
 
 TEST(EvacuatedZones, AcknowledgedOrderSurvivesPowerLossAndLossOfAnyReplica) {
@@ -260,7 +261,7 @@
         EXPECT_EQ(machine.gateway->delivery->state()->evacuatedZones, std::vector<std::string>{"z1"}) << seed;
       }
     }
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -287,10 +288,10 @@
     std::uint64_t const late = fleet.read(old, Ms(900));
     ASSERT_TRUE(fleet.answers.contains(late)) << seed;
     EXPECT_EQ(fleet.answers.at(late).decided.verdict, control::OrderStatus::notRun);
-    fleet.mendAll();
+    fleet.healLinks();
     EXPECT_EQ(retryUntilTaken(fleet, "a", 7), control::OrderStatus::taken) << seed;
     EXPECT_EQ(retryUntilTaken(fleet, "b", 7), control::OrderStatus::taken) << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -309,7 +310,7 @@
     fleet.start(index);
   }
   EXPECT_EQ(retryUntilTaken(fleet, "second", 2), control::OrderStatus::taken);
-  EXPECT_TRUE(fleet.complaints.empty());
+  EXPECT_TRUE(fleet.violations.empty());
 }
 
 TEST(Delivery, ACutOffNodeStopsServingBeforeAChangeIsAcknowledged) {
@@ -329,10 +330,10 @@
       here += fleet.serves(index) ? 1 : 0;
     }
     EXPECT_EQ(here, cutCount > 4 ? cutCount : 0u) << cutCount;
-    fleet.mendAll();
+    fleet.healLinks();
     EXPECT_EQ(retryUntilTaken(fleet, "second", 2), control::OrderStatus::taken);
     EXPECT_TRUE(fleet.awaitServing(8, Ms(5000)));
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << cutCount;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << cutCount;
   }
 }
 
@@ -345,7 +346,7 @@
   ASSERT_EQ(verdictOf(fleet, fleet.change("second", configurationBody(2))), control::OrderStatus::taken);
   fleet.kill(restarted);
   fleet.run(Ms(100));
-  fleet.mendAll();
+  fleet.healLinks();
   fleet.split({cutOff, restarted});
   fleet.start(restarted);
   for (int round = 0; round < 200; ++round) {
@@ -354,7 +355,7 @@
   }
   EXPECT_EQ(fleet.machines[restarted].gateway->version, fleet.machines[cutOff].gateway->version);
   EXPECT_FALSE(fleet.serves(cutOff));
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{});
 }
 
 std::vector<std::size_t> pickRandomGateways(FleetSimulation& fleet, std::size_t controllers, std::size_t gateways,
@@ -378,14 +379,14 @@
     }
     EXPECT_EQ(verdictOf(fleet, fleet.change("second", configurationBody(2))), control::OrderStatus::taken) << seed;
     fleet.run(Ms(4000));
-    EXPECT_EQ(fleet.machines[*fleet.primary()].controller->plane->published().roster.size(), 4u) << seed;
+    EXPECT_EQ(fleet.machines[*fleet.primary()].controller->configService->published().roster.size(), 4u) << seed;
     for (std::size_t const index : chosen) {
       fleet.replace(index);
       fleet.start(index);
     }
     EXPECT_TRUE(fleet.awaitServing(11, Ms(5000))) << seed;
     EXPECT_EQ(retryUntilTaken(fleet, "third", 3), control::OrderStatus::taken);
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -401,12 +402,12 @@
       fleet.run(Ms(50));
       EXPECT_EQ(fleet.serving(), 11u);
     }
-    EXPECT_EQ(fleet.machines[*fleet.primary()].controller->plane->published().roster.size(), 4u) << seed;
+    EXPECT_EQ(fleet.machines[*fleet.primary()].controller->configService->published().roster.size(), 4u) << seed;
     for (std::size_t const index : chosen) {
       fleet.loseHost(index);
     }
     EXPECT_EQ(verdictOf(fleet, fleet.change("second", configurationBody(2))), control::OrderStatus::taken) << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -417,14 +418,14 @@
     std::vector<std::string> names;
     for (std::size_t const index : pickRandomGateways(fleet, 3, 11, 7)) {
       names.push_back(fleet.machines[index].gateway->node);
-      EXPECT_EQ(verdictOf(fleet, fleet.forget({names.back()})), control::OrderStatus::refused);
+      EXPECT_EQ(verdictOf(fleet, fleet.removeNodes({names.back()})), control::OrderStatus::refused);
       fleet.loseHost(index);
     }
     EXPECT_EQ(verdictOf(fleet, fleet.change("second", configurationBody(2))), control::OrderStatus::unknown) << seed;
-    EXPECT_EQ(verdictOf(fleet, fleet.forget({"nobody"})), control::OrderStatus::refused);
-    EXPECT_EQ(verdictOf(fleet, fleet.forget(names)), control::OrderStatus::taken) << seed;
+    EXPECT_EQ(verdictOf(fleet, fleet.removeNodes({"nobody"})), control::OrderStatus::refused);
+    EXPECT_EQ(verdictOf(fleet, fleet.removeNodes(names)), control::OrderStatus::taken) << seed;
     EXPECT_EQ(verdictOf(fleet, fleet.change("third", configurationBody(3))), control::OrderStatus::taken) << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -445,11 +446,11 @@
       fleet.start(chosen[index]);
     }
     fleet.run(Ms(5000));
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
-    fleet.mendAll();
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
+    fleet.healLinks();
     EXPECT_TRUE(fleet.awaitServing(11, Ms(5000))) << seed;
     EXPECT_EQ(retryUntilTaken(fleet, "third", 3), control::OrderStatus::taken);
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -474,7 +475,7 @@
     for (std::size_t const index : chosen) {
       confirmedByMajority += fleet.serves(index) ? 1 : 0;
     }
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
   EXPECT_GT(confirmedByMajority, 100u);
 }
@@ -483,7 +484,7 @@
   FleetSimulation fleet(7, 3, 10, 3);
   ASSERT_TRUE(startServing(fleet, 10));
   fleet.run(Ms(20'000));
-  fleet.weighs = true;
+  fleet.measuresTraffic = true;
   std::size_t const before = fleet.messages;
   fleet.run(Ms(30'000));
   std::size_t total = 0;
@@ -514,17 +515,17 @@
       fleet.start(index);
     }
     fleet.run(Ms(1500));
-    EXPECT_GT(fleet.machines[*fleet.primary()].controller->plane->published().roster.size(), 3u);
+    EXPECT_GT(fleet.machines[*fleet.primary()].controller->configService->published().roster.size(), 3u);
     EXPECT_EQ(verdictOf(fleet, fleet.change("second", configurationBody(2))), control::OrderStatus::unknown) << seed;
     fleet.run(Ms(3000));
     for (std::size_t const index : partition) {
       EXPECT_TRUE(fleet.serves(index)) << seed;
     }
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
-    fleet.mendAll();
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
+    fleet.healLinks();
     EXPECT_EQ(retryUntilTaken(fleet, "third", 3), control::OrderStatus::taken);
     EXPECT_TRUE(fleet.awaitServing(9, Ms(5000))) << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -550,10 +551,10 @@
         for (std::size_t index = zone; index < fleet.machines.size(); index += zones) {
           fleet.start(index);
         }
-        EXPECT_TRUE(fleet.awaitServing(12 - zones, Ms(5000))) << seed << " zone " << zone << fleet.picture();
+        EXPECT_TRUE(fleet.awaitServing(12 - zones, Ms(5000))) << seed << " zone " << zone << fleet.describeState();
         fleet.run(Ms(10'000));
       }
-      EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
     }
   }
 }
@@ -583,7 +584,7 @@
         fleet.run(Ms(static_cast<long>(fleet.network.roll(300))));
       }
       TimePoint const back = fleet.network.now();
-      EXPECT_TRUE(fleet.awaitServing(8, Ms(12'000))) << lostDisk << " seed " << seed << fleet.picture();
+      EXPECT_TRUE(fleet.awaitServing(8, Ms(12'000))) << lostDisk << " seed " << seed << fleet.describeState();
       worst = std::max(worst, std::chrono::duration_cast<Ms>(fleet.network.now() - back));
       for (Machine const& machine : fleet.machines) {
         if (machine.gateway) {
@@ -591,7 +592,7 @@
         }
       }
       EXPECT_EQ(retryUntilTaken(fleet, "after", 3), control::OrderStatus::taken);
-      EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
     }
   }
   std::printf("seeds 1 to 25, each disk or none lost: all nodes serve %ld ms at most after the last start\n",
@@ -627,7 +628,7 @@
       fleet.kill(killedGateway);
       std::function<bool()> const listed = [&] {
         std::vector<messages::RosterEntry> const& roster =
-            fleet.machines[*fleet.primary()].controller->plane->published().roster;
+            fleet.machines[*fleet.primary()].controller->configService->published().roster;
         return std::any_of(roster.begin(), roster.end(),
                            [&](messages::RosterEntry const& entry) { return entry.node == name; });
       };
@@ -662,7 +663,7 @@
       fleet.loseHost(*fleet.primary());
       EXPECT_EQ(retryUntilTaken(fleet, "second", 2), control::OrderStatus::taken);
       changeAgain.push_back(std::chrono::duration_cast<Ms>(fleet.network.now() - began).count() - 200);
-      EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
     }
     std::printf(
         "%zu nodes: %s messages a second from each; killed node off the roster after %s ms; oldest confirmation "
@@ -697,7 +698,7 @@
             << seed << " round " << round;
       }
     }
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -719,7 +720,7 @@
       fleet.start(index);
     }
     EXPECT_EQ(retryUntilTaken(fleet, "second", 2), control::OrderStatus::taken);
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -737,14 +738,14 @@
     ASSERT_TRUE(ticket.has_value());
     fleet.run(Ms(100));
     fleet.kill(restarted);
-    fleet.mendAll();
+    fleet.healLinks();
     fleet.split({other, late, restarted});
     fleet.start(restarted);
     fleet.run(Ms(1500 + static_cast<long>(fleet.network.roll(1500))));
     served += fleet.serves(restarted) ? 1 : 0;
     fleet.split({other});
     fleet.run(Ms(2500));
-    fleet.mendAll();
+    fleet.healLinks();
     for (std::size_t const controller : {0u, 1u, 2u}) {
       for (std::size_t const away : {late, restarted}) {
         fleet.cut(controller, away);
@@ -759,7 +760,7 @@
     bool const taken =
         fleet.answers.contains(*ticket) && fleet.answers.at(*ticket).decided.verdict == control::OrderStatus::taken;
     acknowledged += taken ? 1 : 0;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
   std::printf("seeds 1 to 100: %zu times the restarted node served again, %zu changes acknowledged\n", served,
               acknowledged);
@@ -791,7 +792,7 @@
         fleet.start(victim);
       }
       EXPECT_TRUE(fleet.awaitServing(8, Ms(5000)));
-      EXPECT_TRUE(fleet.complaints.empty());
+      EXPECT_TRUE(fleet.violations.empty());
     }
   }
 }
@@ -856,7 +857,7 @@
         }
         case 9:
         case 10:
-          fleet.mendAll();
+          fleet.healLinks();
           break;
         case 11:
           if (machine.gateway && !machine.up) {
@@ -878,7 +879,7 @@
           break;
       }
     }
-    fleet.mendAll();
+    fleet.healLinks();
     for (std::size_t index = 0; index < fleet.machines.size(); ++index) {
       if (draining.contains(index) && fleet.machines[index].up) {
         fleet.kill(index);
@@ -889,8 +890,8 @@
       fleet.thaw(index);
     }
     EXPECT_EQ(retryUntilTaken(fleet, "last", 7), control::OrderStatus::taken) << seed;
-    EXPECT_TRUE(fleet.awaitServing(7, Ms(10'000))) << seed << fleet.picture();
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_TRUE(fleet.awaitServing(7, Ms(10'000))) << seed << fleet.describeState();
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << "seed " << seed;
     for (std::uint64_t const ticket : tickets) {
       if (fleet.answers.contains(ticket)) {
         taken += fleet.answers.at(ticket).decided.verdict == control::OrderStatus::taken ? 1 : 0;
--- a/tests/explorer_test.cpp
+++ b/tests/explorer_test.cpp
@@ -30,7 +30,7 @@
   return group;
 }
 
-TEST(ReplicationGroupDigest, ACopyIsEqualAndGoesItsOwnWay) {
+TEST(ReplicationGroupDigest, CopyIsEqualAndDivergesIndependently) {
   TimePoint const now{std::chrono::hours(1)};
   ReplicationGroup original = startedMember(now, 1);
   ReplicationGroup copy = original;
@@ -42,27 +42,27 @@
   EXPECT_EQ(copy.digest(now + Ms(400)), original.digest(now + Ms(400)));
 }
 
-TEST(ReplicationGroupDigest, CountsTimesFromNow) {
+TEST(ReplicationGroupDigest, IsRelativeToTheGivenTime) {
   TimePoint const early{std::chrono::hours(1)};
   TimePoint const late{std::chrono::hours(50)};
   EXPECT_EQ(startedMember(early, 1).digest(early), startedMember(late, 1).digest(late));
   EXPECT_NE(startedMember(early, 1).digest(early), startedMember(early, 1).digest(early + Ms(100)));
 }
 
-/// The steps of a trace by name, the violation, and how to run it again.
-std::string accountOf(Scenario const& scenario, Finding const& finding) {
-  std::string account;
-  replay(scenario.start, finding.trace, true, &account);
-  return finding.violation + "\n" + account + "state_explorer --scenario " + scenario.name + " --replay " +
+/// Returns the violation, the steps of its trace by name, and the command that replays it.
+std::string describeFinding(Scenario const& scenario, Finding const& finding) {
+  std::string stepLog;
+  replay(scenario.start, finding.trace, true, &stepLog);
+  return finding.violation + "\n" + stepLog + "state_explorer --scenario " + scenario.name + " --replay " +
          traceText(finding.trace);
 }
 
-constexpr std::size_t stepsOfAWalkTest = 600'000;
+constexpr std::size_t stepsPerWalkTest = 600'000;
 
 class Search : public testing::TestWithParam<std::string> {};
 class Walk : public testing::TestWithParam<std::string> {};
 
-Scenario named(std::vector<Scenario> const& scenarios, std::string const& name) {
+Scenario scenarioNamed(std::vector<Scenario> const& scenarios, std::string const& name) {
   return *std::find_if(scenarios.begin(), scenarios.end(),
                        [&](Scenario const& scenario) { return scenario.name == name; });
 }
@@ -83,29 +83,29 @@
 }
 
 TEST_P(Search, NoReachableStateBreaksAnInvariant) {
-  Scenario const scenario = named(searchScenarios(), GetParam());
+  Scenario const scenario = scenarioNamed(searchScenarios(), GetParam());
   SearchReport const report = searchAll(scenario.start, {.maxStates = 60'000, .recoverEvery = 500});
   std::printf("%zu states, %zu transitions, depth %zu, %zu recoveries\n", report.states, report.transitions,
               report.depth, report.recoveries);
   EXPECT_GT(report.states, 10'000u);
-  EXPECT_FALSE(report.finding.has_value()) << accountOf(scenario, *report.finding);
+  EXPECT_FALSE(report.finding.has_value()) << describeFinding(scenario, *report.finding);
 }
 
 TEST_P(Walk, NoSeededWalkBreaksAnInvariant) {
-  Scenario const scenario = named(walkScenarios(), GetParam());
+  Scenario const scenario = scenarioNamed(walkScenarios(), GetParam());
   WalkReport const report = walkRandomly(
-      scenario.start, {.firstSeed = 1, .walks = stepsOfAWalkTest / scenario.steps, .steps = scenario.steps});
+      scenario.start, {.firstSeed = 1, .walks = stepsPerWalkTest / scenario.steps, .steps = scenario.steps});
   std::printf("%zu walks, %zu steps, %zu epochs, %zu acknowledged, seeds 1 to %llu\n", report.walks, report.steps,
               report.epochs, report.acknowledged, static_cast<unsigned long long>(report.seed));
   EXPECT_GT(report.epochs, report.walks * 3 / 2);
   EXPECT_GT(report.acknowledged, report.walks);
-  EXPECT_FALSE(report.finding.has_value()) << accountOf(scenario, shorten(scenario.start, *report.finding));
+  EXPECT_FALSE(report.finding.has_value()) << describeFinding(scenario, shorten(scenario.start, *report.finding));
 }
 
 INSTANTIATE_TEST_SUITE_P(Explorer, Search, testing::ValuesIn(namesOf(searchScenarios())), testName);
 INSTANTIATE_TEST_SUITE_P(Explorer, Walk, testing::ValuesIn(namesOf(walkScenarios())), testName);
 
-TEST(Trace, ReadsWhatItWrites) {
+TEST(Trace, TextRoundTripsAndRejectsMalformedSteps) {
   Trace const trace{{ActionKind::tick, 2, 0}, {ActionKind::crash, 1, 3}, {ActionKind::deliver, 0, 0}};
   EXPECT_EQ(traceText(trace), "tick:2,crash:1:3,deliver:0");
   EXPECT_EQ(parseTrace(traceText(trace)), trace);
--- a/tests/order_evaluation_test.cpp
+++ b/tests/order_evaluation_test.cpp
@@ -26,7 +26,7 @@
  protected:
   void SetUp() override {
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken);
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken);
     fleet.run(Ms(1500));
     ASSERT_TRUE(fleet.primary());
     primary = *fleet.primary();
@@ -44,7 +44,7 @@
     return found == fleet.answers.end() ? std::nullopt : std::optional(found->second.decided.verdict);
   }
 
-  messages::State const& published() const { return fleet.machines[primary].controller->plane->published(); }
+  messages::State const& published() const { return fleet.machines[primary].controller->configService->published(); }
   bool leads() const { return fleet.primary() == std::optional(primary); }
 
   FleetSimulation fleet{GetParam(), controllers, gateways, zones};
@@ -83,7 +83,7 @@
   EXPECT_EQ(published().revision, 6U) << "taken by the first order: the repetition is still being evaluated";
   fleet.run(2 * evaluationTime);
   EXPECT_EQ(answerTo(repetition), control::OrderStatus::taken);
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{});
 }
 
 TEST_P(OrderEvaluation, LongerThanTheDeadlineOfAnInvalidChangeChangesNothing) {
@@ -94,7 +94,7 @@
   fleet.run(Ms(2000));
   EXPECT_EQ(published().revision, 4U);
   fleet.evaluationTime = Ms(0);
-  EXPECT_EQ(operators.insist(orderOn(4, 7, "third"), Ms(5000)), Reply::taken);
+  EXPECT_EQ(operators.retryUntilDecided(orderOn(4, 7, "third"), Ms(5000)), Reply::taken);
 }
 
 TEST_P(OrderEvaluation, QueuedOrdersWaitForItAndAreTakenInOrder) {
@@ -102,7 +102,7 @@
   std::uint64_t const second = submit(orderOn(4, 6, "second"), Ms(5000));
   std::uint64_t const third = submit(orderOn(6, 8, "third"), Ms(5000));
   fleet.run(Ms(250));
-  EXPECT_EQ(fleet.machines[primary].controller->plane->pending(), 2U);
+  EXPECT_EQ(fleet.machines[primary].controller->configService->pending(), 2U);
   fleet.run(Ms(3000));
   EXPECT_EQ(answerTo(second), control::OrderStatus::taken);
   EXPECT_EQ(answerTo(third), control::OrderStatus::taken);
@@ -127,25 +127,25 @@
   fleet.run(Ms(10));
   fleet.split({primary});
   fleet.run(Ms(4000));
-  fleet.mendAll();
+  fleet.healLinks();
   fleet.evaluationTime = Ms(0);
-  EXPECT_EQ(operators.insist(orderOn(4, 7, "third"), Ms(8000)), Reply::taken);
+  EXPECT_EQ(operators.retryUntilDecided(orderOn(4, 7, "third"), Ms(8000)), Reply::taken);
   fleet.run(Ms(1500));
   EXPECT_EQ(answerTo(ticket), control::OrderStatus::notRun);
   while (!leads() && fleet.network.now() < begun + evaluationTime - Ms(6000)) {
     if (std::optional<std::size_t> const other = fleet.primary()) {
       fleet.split({*other});
       fleet.run(Ms(3000));
-      fleet.mendAll();
+      fleet.healLinks();
     }
     fleet.run(Ms(500));
   }
   ASSERT_TRUE(leads());
   fleet.network.runUntil(begun + evaluationTime + Ms(2000));
   EXPECT_EQ(published().revision, 7U);
-  EXPECT_EQ(operators.insist(orderOn(7, 9, "fourth"), Ms(5000)), Reply::taken);
-  EXPECT_EQ(operators.judge(), std::vector<std::string>{});
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{});
+  EXPECT_EQ(operators.retryUntilDecided(orderOn(7, 9, "fourth"), Ms(5000)), Reply::taken);
+  EXPECT_EQ(operators.checkInvariants(), std::vector<std::string>{});
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{});
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, OrderEvaluation, testing::Range<std::uint64_t>(1, seeds + 1));
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -44,7 +44,7 @@
 std::optional<std::size_t> isolateSuccessorBeforeConfirmation(FleetSimulation& fleet, OperatorSimulation& operators,
                                                               control::Change const& first) {
   fleet.startAll();
-  if (operators.insist(first, Ms(15'000)) != Reply::taken) {
+  if (operators.retryUntilDecided(first, Ms(15'000)) != Reply::taken) {
     return std::nullopt;
   }
   fleet.run(Ms(1500));
@@ -63,7 +63,7 @@
 
 Reply retryAtOtherControllers(FleetSimulation& fleet, OperatorSimulation& operators, std::size_t avoided,
                               control::Change const& order) {
-  Reply reply = Reply::silence;
+  Reply reply = Reply::none;
   for (std::size_t round = 0; round < 40 && reply != Reply::taken; ++round) {
     std::size_t const machine = (avoided + 1 + round % (controllers - 1)) % controllers;
     reply = operators.await(operators.call({machine, order}, callMs));
@@ -88,14 +88,14 @@
       fleet.run(Ms(300));
       for (control::Change const& order : {orderOn(6, 9, "third"), zoneOrder("z1", false), orderOn(0, 4, "first")}) {
         Reply const reply = operators.await(operators.call({*old, order}, callMs));
-        EXPECT_TRUE(reply == Reply::notRun || reply == Reply::unknown || reply == Reply::silence)
+        EXPECT_TRUE(reply == Reply::notRun || reply == Reply::unknown || reply == Reply::none)
             << seed << " " << order.id << " " << static_cast<int>(reply);
       }
     }
-    fleet.mendAll();
-    EXPECT_EQ(operators.insist(orderOn(6, 9, "third"), Ms(10'000)), Reply::taken) << seed;
-    EXPECT_EQ(operators.judge(), std::vector<std::string>{}) << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    fleet.healLinks();
+    EXPECT_EQ(operators.retryUntilDecided(orderOn(6, 9, "third"), Ms(10'000)), Reply::taken) << seed;
+    EXPECT_EQ(operators.checkInvariants(), std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
   EXPECT_GT(neverConfirmed, 5U);
 }
@@ -107,7 +107,7 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(2000));
     std::size_t const primary = *fleet.primary();
     for (std::size_t other = 0; other < controllers; ++other) {
@@ -140,7 +140,7 @@
   std::uint64_t out = 0;
   for (Machine const& machine : fleet.machines) {
     if (machine.controller && machine.up) {
-      out = std::max(out, machine.controller->plane->published().revision);
+      out = std::max(out, machine.controller->configService->published().revision);
     }
   }
   return out;
@@ -238,7 +238,7 @@
   FleetSimulation fleet(seed, controllers, gateways, 3);
   OperatorSimulation operators(fleet);
   fleet.startAll();
-  EXPECT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << trial;
+  EXPECT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << trial;
   fleet.run(Ms(2000));
   std::array<BusyOperator, 2> busy{BusyOperator(fleet, operators, "a"), BusyOperator(fleet, operators, "b")};
   std::function<void(Ms)> const runFor = [&](Ms time) {
@@ -254,14 +254,14 @@
   std::size_t const before = busy[0].taken + busy[1].taken;
   runFor(partitionMs);
   out.takenDuring = busy[0].taken + busy[1].taken - before;
-  fleet.mendAll();
+  fleet.healLinks();
   runFor(Ms(6000));
   out.takenAfter = busy[0].taken + busy[1].taken - before - out.takenDuring;
   fleet.run(Ms(1500));
   EXPECT_GT(out.takenAfter, 0U) << trial;
-  EXPECT_EQ(operators.judge(), std::vector<std::string>{}) << trial;
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << trial;
-  for (MadeCall const& made : operators.calls) {
+  EXPECT_EQ(operators.checkInvariants(), std::vector<std::string>{}) << trial;
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << trial;
+  for (CallRecord const& made : operators.calls) {
     out.history += std::to_string(made.machine) + (made.reply ? std::to_string(static_cast<int>(*made.reply)) : "-");
   }
   return out;
@@ -329,7 +329,7 @@
   FleetSimulation fleet(17 + faultAfter, controllers, 2, 3);
   OperatorSimulation operators(fleet);
   fleet.startAll();
-  ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << trial;
+  ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << trial;
   fleet.run(Ms(1500));
   std::size_t const primary = *fleet.primary();
   std::size_t const other = controllers + faultAfter % 2;
@@ -346,16 +346,16 @@
     }
   }
   fleet.run(Ms(3000));
-  fleet.mendAll();
+  fleet.healLinks();
   if (!fleet.machines[primary].up) {
     fleet.start(primary);
   }
-  Reply const first = operators.insist(orders[0], Ms(10'000));
-  Reply const second = operators.insist(orders[1], Ms(10'000));
+  Reply const first = operators.retryUntilDecided(orders[0], Ms(10'000));
+  Reply const second = operators.retryUntilDecided(orders[1], Ms(10'000));
   EXPECT_TRUE(first == Reply::taken || second == Reply::taken) << trial;
   EXPECT_TRUE(first == Reply::conflict || second == Reply::conflict) << trial;
-  EXPECT_EQ(operators.judge(), std::vector<std::string>{}) << trial;
-  EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << trial;
+  EXPECT_EQ(operators.checkInvariants(), std::vector<std::string>{}) << trial;
+  EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << trial;
 }
 
 TEST(TwoOperators, CompetingChangesHaveOneWinnerInEveryMessageOrder) {
@@ -388,7 +388,7 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     for (int round = 0; round < 3; ++round) {
       for (int index = 0; index < 8; ++index) {
         control::Change const order = orderOn(4, 7, "s" + std::to_string(index));
@@ -400,19 +400,20 @@
     fleet.run(Ms(2000));
     std::size_t taken = 0;
     for (int index = 0; index < 8; ++index) {
-      Reply const reply = operators.insist(orderOn(4, 7, "s" + std::to_string(index)), Ms(5000));
+      Reply const reply = operators.retryUntilDecided(orderOn(4, 7, "s" + std::to_string(index)), Ms(5000));
       EXPECT_TRUE(reply == Reply::taken || reply == Reply::conflict) << seed;
       taken += reply == Reply::taken ? 1 : 0;
     }
     EXPECT_EQ(taken, 1U) << seed;
-    EXPECT_EQ(operators.judge(), std::vector<std::string>{}) << seed;
+    EXPECT_EQ(operators.checkInvariants(), std::vector<std::string>{}) << seed;
   }
 }
 
 /// Makes changes 1 to `count`. Each is based on the one before, and its revision is 10 times its number.
 void makeChanges(FleetSimulation& fleet, OperatorSimulation& operators, std::uint64_t count) {
   for (std::uint64_t number = 1; number <= count; ++number) {
-    ASSERT_EQ(operators.insist(orderOn(10 * (number - 1), 10 * number, "c"), Ms(15'000)), Reply::taken) << number;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(10 * (number - 1), 10 * number, "c"), Ms(15'000)), Reply::taken)
+        << number;
   }
   fleet.run(Ms(1000));
 }
@@ -423,8 +424,8 @@
   for (std::uint64_t number = 1; number <= count; ++number) {
     control::Change const order = orderOn(10 * (number - 1), 10 * number, "c");
     bool const known = number + remembered > count;
-    Reply const reply =
-        known ? operators.insist(order, Ms(10'000)) : operators.await(operators.call({controllers, order}, callMs));
+    Reply const reply = known ? operators.retryUntilDecided(order, Ms(10'000))
+                              : operators.await(operators.call({controllers, order}, callMs));
     EXPECT_EQ(reply, known ? Reply::taken : Reply::unknown) << number << " " << static_cast<int>(reply);
   }
 }
@@ -471,9 +472,9 @@
   }
   fleet.run(Ms(3000));
   expectRepetitionsKnown(operators, count, remembered);
-  EXPECT_EQ(operators.insist(orderOn(10 * count - 10, 10 * count + 5, "late"), Ms(10'000)), Reply::conflict);
-  EXPECT_EQ(operators.insist(orderOn(10 * count, 10 * count + 7, "next"), Ms(10'000)), Reply::taken);
-  EXPECT_EQ(operators.judge(), std::vector<std::string>{});
+  EXPECT_EQ(operators.retryUntilDecided(orderOn(10 * count - 10, 10 * count + 5, "late"), Ms(10'000)), Reply::conflict);
+  EXPECT_EQ(operators.retryUntilDecided(orderOn(10 * count, 10 * count + 7, "next"), Ms(10'000)), Reply::taken);
+  EXPECT_EQ(operators.checkInvariants(), std::vector<std::string>{});
 }
 
 std::string nameOf(Disruption disruption) {
@@ -500,7 +501,7 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(2000));
     std::size_t const draining = *fleet.primary();
     std::vector<std::uint64_t> tickets;
@@ -524,7 +525,7 @@
     EXPECT_EQ(retryAtOtherControllers(fleet, operators, draining, zoneOrder("z1", true)), Reply::taken) << seed;
     EXPECT_LT(fleet.network.now() - began, Ms(3000)) << seed;
     EXPECT_TRUE(fleet.primary() != std::optional<std::size_t>(draining)) << seed << next;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -533,7 +534,7 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(2000));
     std::size_t const draining = *fleet.primary();
     std::uint64_t const before = fleet.machines[draining].controller->group->state().sequence;
@@ -668,8 +669,8 @@
   FleetSimulation fleet(4, controllers, gateways, 3);
   OperatorSimulation operators(fleet);
   fleet.startAll();
-  ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken);
-  ASSERT_EQ(operators.insist(zoneOrder("z1", true), Ms(5000)), Reply::taken);
+  ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken);
+  ASSERT_EQ(operators.retryUntilDecided(zoneOrder("z1", true), Ms(5000)), Reply::taken);
   net::Request request{"DELETE", "/limeramp/zones/z1/emptied", {{control::deadlineHeader, "900"}}, "", ""};
   TimePoint const arrivedAt = fleet.network.now() - Ms(901);
   control::Change late = std::get<control::Change>(control::readChange(request, arrivedAt));
@@ -678,7 +679,7 @@
   ASSERT_TRUE(fleet.answers.contains(late.ticket));
   EXPECT_EQ(fleet.answers.at(late.ticket).decided.verdict, control::OrderStatus::notRun);
   fleet.run(Ms(1000));
-  EXPECT_EQ(fleet.machines[*fleet.primary()].controller->plane->published().evacuatedZones,
+  EXPECT_EQ(fleet.machines[*fleet.primary()].controller->configService->published().evacuatedZones,
             std::vector<std::string>{"z1"});
 }
 
@@ -689,8 +690,8 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
-    ASSERT_EQ(operators.insist(zoneOrder("z1", true), Ms(5000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(zoneOrder("z1", true), Ms(5000)), Reply::taken) << seed;
     fleet.run(Ms(13 * seed));
     control::Change late = zoneOrder("z1", false);
     late.ticket = fleet.nextTicket();
@@ -702,12 +703,12 @@
     ASSERT_TRUE(fleet.answers.contains(late.ticket)) << seed;
     EXPECT_EQ(fleet.answers.at(late.ticket).decided.verdict, control::OrderStatus::notRun) << seed;
     fleet.run(Ms(2500));
-    EXPECT_EQ(fleet.machines[*fleet.primary()].controller->plane->published().evacuatedZones,
+    EXPECT_EQ(fleet.machines[*fleet.primary()].controller->configService->published().evacuatedZones,
               std::vector<std::string>{"z1"})
         << seed;
-    EXPECT_EQ(fleet.complaints, std::vector<std::string>{}) << seed;
-    fleet.expectNothingOf("z1");
-    ASSERT_EQ(operators.insist(zoneOrder("z1", false), Ms(5000)), Reply::taken)
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << seed;
+    fleet.stopCheckingZone("z1");
+    ASSERT_EQ(operators.retryUntilDecided(zoneOrder("z1", false), Ms(5000)), Reply::taken)
         << "the order of a waiting caller must be taken";
   }
 }
@@ -717,7 +718,7 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(1000 + 17 * seed));
     std::size_t const primary = *fleet.primary();
     SimulatedController const& controller = *fleet.machines[primary].controller;
@@ -728,7 +729,7 @@
     std::optional<std::uint64_t> const other = fleet.change(second);
     bool begun = false;
     while (!begun && fleet.network.now() < arrivedAt + callMs) {
-      begun = !controller.plane->published().evacuatedZones.empty();
+      begun = !controller.configService->published().evacuatedZones.empty();
       EXPECT_TRUE(!begun || control::confirmedSince(controller.group->leadershipConfirmedAt(), arrivedAt)) << seed;
       fleet.run(Ms(1));
     }
@@ -746,7 +747,7 @@
     FleetSimulation fleet(seed, controllers, gateways, 3);
     OperatorSimulation operators(fleet);
     fleet.startAll();
-    ASSERT_EQ(operators.insist(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
+    ASSERT_EQ(operators.retryUntilDecided(orderOn(0, 4, "first"), Ms(15'000)), Reply::taken) << seed;
     fleet.run(Ms(1000 + 17 * seed));
     TimePoint const arrivedAt = fleet.network.now();
     std::optional<std::uint64_t> const ticket = fleet.order("z1", true);
--- a/tests/replication_guards_test.cpp
+++ b/tests/replication_guards_test.cpp
@@ -200,7 +200,7 @@
   std::size_t const before = group.commits;
   for (Ms passed{0}; passed < within && group.commits == before; passed += Ms(10)) {
     group.run(Ms(10));
-    group.offer();
+    group.proposeChange();
   }
   EXPECT_GT(group.commits, before);
 }
@@ -234,13 +234,13 @@
       }
       for (int round = 0; round < 500; ++round) {
         group.run(Ms(10));
-        group.offer();
+        group.proposeChange();
       }
       EXPECT_GT(group.nodes[*group.active()].group.decided().epoch, record.epoch)
           << "the other side continues in a later epoch";
-      group.mendAll();
+      group.healLinks();
       group.run(Ms(3000));
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     }
   }
 }
@@ -271,7 +271,7 @@
       group.run(Ms(10));
     }
     slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - restartedAt));
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
   }
   std::printf("seeds 1 to 60: a witness wiped in place votes again after %ld ms at most\n",
               static_cast<long>(slowest.count()));
@@ -316,21 +316,21 @@
     for (int round = 0; round < 25; ++round) {
       std::optional<std::size_t> const primary = group.active();
       if (primary) {
-        group.offer();
+        group.proposeChange();
         group.network.runUntil(group.network.now() + std::chrono::microseconds(group.network.roll(8000)));
         group.freeze(*primary);
       }
       group.run(Ms(static_cast<long>(group.network.roll(2600))));
-      group.offer();
+      group.proposeChange();
       group.thaw(group.network.roll(group.nodes.size()));
-      group.offer();
+      group.proposeChange();
     }
     for (std::size_t index = 0; index < group.nodes.size(); ++index) {
       group.thaw(index);
     }
     runUntilCommit(group, Ms(10'000));
     takeovers += group.takeovers;
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
   }
   std::printf("seeds 1 to 120: %zu leaderships begun\n", takeovers);
   EXPECT_GT(takeovers, 400u);
@@ -358,7 +358,7 @@
     group.start(witness);
     runUntilCommit(group, Ms(10'000));
     EXPECT_EQ(group.active().value_or(absent), witness) << seed;
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
   }
 }
 
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -13,7 +13,7 @@
   std::size_t const before = group.commits;
   for (int round = 0; round < 400 && group.commits == before; ++round) {
     group.run(Ms(25));
-    group.offer();
+    group.proposeChange();
   }
   std::string memberStates;
   for (SimulatedMember const& node : group.nodes) {
@@ -54,7 +54,7 @@
     startAll(group);
     expectNextCommit(group, "after founding");
     EXPECT_EQ(group.fleets.size(), 1u);
-    EXPECT_TRUE(group.complaints.empty());
+    EXPECT_TRUE(group.violations.empty());
   }
 }
 
@@ -73,7 +73,7 @@
           group.cut(index, group.network.roll(group.nodes.size()));
           break;
         case 1:
-          group.mendAll();
+          group.healLinks();
           break;
         case 2:
           group.kill(index, true);
@@ -97,7 +97,7 @@
     for (std::size_t index = 0; index < group.nodes.size(); ++index) {
       group.thaw(index);
     }
-    group.mendAll();
+    group.healLinks();
     group.run(Ms(20'000));
     std::set<std::string> fleets;
     for (SimulatedMember const& node : group.nodes) {
@@ -106,7 +106,7 @@
     fleets.erase("");
     EXPECT_LE(fleets.size(), 1u) << "seed " << seed;
     EXPECT_LE(group.fleets.size(), 1u) << "seed " << seed;
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << "seed " << seed;
     founded += group.fleets.size();
   }
   std::printf("seeds 1 to 400: %zu founded\n", founded);
@@ -130,7 +130,7 @@
     group.run(Ms(10'000));
     EXPECT_EQ(group.fleets.size(), 1u) << seed;
     EXPECT_EQ(group.nodes[loneSeed].group.decided().epoch, 0u) << seed;
-    group.mendAll();
+    group.healLinks();
     expectNextCommit(group, "after the cut");
     group.run(Ms(5'000));
     EXPECT_EQ(group.nodes[loneSeed].group.decided().fleet, *group.fleets.begin()) << seed;
@@ -182,14 +182,14 @@
       startAll(group);
       expectNextCommit(group, "after founding");
       std::size_t const primary = waitForPrimary(group);
-      group.offer();
+      group.proposeChange();
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
       group.kill(primary, powerLoss);
       expectNextCommit(group, "after the kill at " + std::to_string(stepUs));
       group.start(primary);
       group.run(Ms(3000));
       expectNextCommit(group, "after the return");
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << stepUs;
     }
   }
 }
@@ -201,12 +201,12 @@
       startAll(group);
       expectNextCommit(group, "after founding");
       std::size_t const primary = waitForPrimary(group);
-      group.offer();
+      group.proposeChange();
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
       group.kill(primary, true);
       group.start(primary);
       expectNextCommit(group, "after the restart at " + std::to_string(stepUs));
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << stepUs;
     }
   }
 }
@@ -241,7 +241,7 @@
       std::size_t const before = group.commits;
       while (group.commits == before && group.network.now() - endedAt < Ms(20'000)) {
         group.run(Ms(10));
-        group.offer();
+        group.proposeChange();
       }
       Ms const outage = std::chrono::duration_cast<Ms>(group.network.now() - endedAt);
       (warned ? longestWithWarning : shortestWithoutWarning) =
@@ -249,7 +249,7 @@
       group.start(primary);
       group.run(Ms(2000));
       expectNextCommit(group, "after the return");
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     }
   }
   std::printf("seeds 1 to 40: first change %ld ms at most after an announced shutdown, %ld ms at least after a kill\n",
@@ -264,7 +264,7 @@
     startAll(group);
     expectNextCommit(group, "after founding");
     std::size_t const primary = waitForPrimary(group);
-    group.offer();
+    group.proposeChange();
     group.beginShutdown(primary);
     group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
     group.kill(primary, stepUs % 1000 == 0);
@@ -272,7 +272,7 @@
     group.start(primary);
     group.run(Ms(3000));
     expectNextCommit(group, "after the return");
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << stepUs;
   }
 }
 
@@ -282,7 +282,7 @@
   group.beginShutdown(index);
   while (!group.nodes[index].group.mayShutDown() && group.network.now() - requestedAt < Ms(6000)) {
     group.run(Ms(10));
-    group.offer();
+    group.proposeChange();
   }
   EXPECT_TRUE(group.nodes[index].group.mayShutDown());
   group.wipe(index);
@@ -316,7 +316,7 @@
       expectNextCommit(group, "after founding");
       group.run(Ms(2000));
       std::vector<std::size_t> const roles = membersByRole(group);
-      group.offer();
+      group.proposeChange();
       group.run(Ms(static_cast<long>(group.network.roll(20))));
       group.wipe(roles[0]);
       group.run(Ms(static_cast<long>(group.network.roll(500))));
@@ -325,7 +325,7 @@
       }
       shutDownAndWipe(group, roles[1]);
       expectNextCommit(group, "after the backup left, seed " + std::to_string(seed) + " of " + std::to_string(count));
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     }
   }
 }
@@ -343,7 +343,7 @@
           expectNextCommit(group, "after founding");
           group.run(Ms(8000));
           std::size_t const leavingIndex = membersByRole(group)[leaver];
-          group.offer();
+          group.proposeChange();
           durations.push_back(shutDownAndWipe(group, leavingIndex));
           std::vector<std::size_t> const membersAfter = membersByRole(group);
           ASSERT_LT(other, membersAfter.size());
@@ -352,7 +352,7 @@
           }
           expectNextCommit(group,
                            "after " + std::to_string(leaver) + " left and " + std::to_string(other) + " was lost");
-          EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+          EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
         }
       }
     }
@@ -380,7 +380,7 @@
       group.kill(leaver, true);
       group.start(leaver);
       expectNextCommit(group, "after its return");
-      EXPECT_EQ(group.complaints, std::vector<std::string>{});
+      EXPECT_EQ(group.violations, std::vector<std::string>{});
     }
   }
 }
@@ -415,7 +415,7 @@
       EXPECT_EQ(group.nodes[waitForPrimary(group)].group.decided().epoch, epoch)
           << "the epoch changed without a reason";
     }
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -457,11 +457,11 @@
     group.start(other);
     for (int round = 0; round < 200; ++round) {
       group.run(Ms(50));
-      group.offer();
+      group.proposeChange();
     }
     expectNextCommit(group, "with one of the old group back");
     EXPECT_GT(group.nodes[other].group.decided().epoch, record.epoch + 1000);
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     EXPECT_EQ(group.fleets.size(), 1u);
   }
 }
@@ -472,16 +472,16 @@
     startAll(group);
     expectNextCommit(group, "after founding");
     std::size_t const primary = waitForPrimary(group);
-    group.offer();
+    group.proposeChange();
     group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
     group.freeze(primary);
     group.run(Ms(1000));
     expectNextCommit(group, "while frozen");
     group.thaw(primary);
-    group.offer();
+    group.proposeChange();
     group.run(Ms(2000));
     expectNextCommit(group, "after the thaw");
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << stepUs;
   }
 }
 
@@ -500,10 +500,10 @@
       for (int round = 0; round < 40'000 && group.nodes[backup].group.fenced() < record.epoch; ++round) {
         group.network.runUntil(group.network.now() + std::chrono::microseconds(100));
       }
-      group.mendAll();
+      group.healLinks();
       group.network.runUntil(group.network.now() + std::chrono::milliseconds(6));
       offered += group.nodes[primary].group.active() && !group.nodes[primary].group.busy() ? 1 : 0;
-      group.offer();
+      group.proposeChange();
       group.setLoss(0.4);
       for (int round = 0; round < 20'000 && group.nodes[backup].group.decided().epoch == record.epoch; ++round) {
         group.network.runUntil(group.network.now() + std::chrono::microseconds(100));
@@ -512,7 +512,7 @@
       group.wipe(backup);
       group.setLoss(0);
       expectNextCommit(group, "after the loss of the backup at " + std::to_string(stepUs));
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed << " " << stepUs;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed << " " << stepUs;
     }
   }
   EXPECT_GT(offered, 300u);
@@ -526,7 +526,7 @@
       startAll(group);
       expectNextCommit(group, "after founding");
       group.run(Ms(2000));
-      group.offer();
+      group.proposeChange();
       group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
       for (std::size_t index = 0; index < group.nodes.size(); ++index) {
         group.kill(index, false);
@@ -538,7 +538,7 @@
       }
       expectNextCommit(group, "after all processes restarted at " + std::to_string(stepUs));
       slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - lostAt));
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << stepUs;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << stepUs;
     }
   }
   std::printf("all processes killed: first change %ld ms at most after the kill\n", static_cast<long>(slowest.count()));
@@ -562,7 +562,7 @@
       std::size_t const secondLost = (memberIndex + 1) % 3;
       group.wipe(secondLost);
       expectNextCommit(group, "with a second one lost after the repair");
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << memberIndex << " seed " << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << memberIndex << " seed " << seed;
       EXPECT_EQ(group.fleets.size(), 1u);
     }
   }
@@ -574,7 +574,7 @@
     ReplicationSimulation group(17, 3, 0);
     startAll(group);
     expectNextCommit(group, "after founding");
-    group.offer();
+    group.proposeChange();
     group.run(Ms(2));
     for (std::size_t index = 0; index < 3; ++index) {
       group.kill(index, true);
@@ -586,7 +586,7 @@
     TimePoint const lastStart = group.network.now();
     expectNextCommit(group, "after the total loss");
     EXPECT_LT(group.network.now() - lastStart, Ms(5000));
-    EXPECT_TRUE(group.complaints.empty());
+    EXPECT_TRUE(group.violations.empty());
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
@@ -623,7 +623,7 @@
       expectNextCommit(group, "at full strength");
       for (bool const inPlace : {false, true}) {
         std::vector<std::size_t> const lost = chooseTwoMachines(group, ++variant);
-        group.offer();
+        group.proposeChange();
         group.network.runUntil(group.network.now() + std::chrono::microseconds(stepUs));
         for (std::size_t const index : lost) {
           inPlace ? group.wipeInPlace(index) : group.wipe(index);
@@ -636,7 +636,7 @@
         }
         group.run(Ms(4000));
       }
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed << " " << stepUs;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed << " " << stepUs;
       EXPECT_EQ(group.fleets.size(), 1u);
     }
   }
@@ -653,7 +653,7 @@
     expectNextCommit(group, "after founding");
     group.run(Ms(3000));
     std::size_t const before = group.commits;
-    group.offer();
+    group.proposeChange();
     while (group.commits == before) {
       group.network.runUntil(group.network.now() + std::chrono::microseconds(100));
     }
@@ -670,7 +670,7 @@
     TimePoint const lastStart = group.network.now();
     expectNextCommit(group, "after the total loss of seed " + std::to_string(seed));
     slowest = std::max(slowest, std::chrono::duration_cast<Ms>(group.network.now() - lastStart));
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     EXPECT_EQ(group.fleets.size(), 1u);
   }
   std::printf("seeds 1 to 120: first change %ld ms at most after the last start\n", static_cast<long>(slowest.count()));
@@ -695,7 +695,7 @@
     messages::EpochRecord const& record = group.nodes[waitForPrimary(group)].group.decided();
     EXPECT_EQ(record.backups.size(), 2u) << seed;
     EXPECT_EQ(record.witnesses.size(), 5u) << seed;
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
   }
 }
 
@@ -706,7 +706,7 @@
   group.kill(0, true);
   group.start(0);
   expectNextCommit(group, "after a power loss");
-  EXPECT_EQ(group.complaints, std::vector<std::string>{});
+  EXPECT_EQ(group.violations, std::vector<std::string>{});
 }
 
 TEST(ReplicationGroup, AMachineWipedInPlaceIsAWitnessAgainWithinFourSeconds) {
@@ -724,7 +724,7 @@
       expectNextCommit(group,
                        "after machine " + std::to_string(index) + " came back empty, seed " + std::to_string(seed));
     }
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     EXPECT_EQ(group.fleets.size(), 1u);
   }
 }
@@ -742,7 +742,7 @@
     group.start(index);
   }
   expectNextCommit(group, "after the schema change");
-  EXPECT_EQ(group.complaints, std::vector<std::string>{});
+  EXPECT_EQ(group.violations, std::vector<std::string>{});
   EXPECT_EQ(group.fleets.size(), 1u);
 }
 
@@ -752,11 +752,11 @@
   expectNextCommit(group, "after founding");
   std::size_t const primary = waitForPrimary(group);
   group.nodes[primary].diskStuck = true;
-  group.offer();
+  group.proposeChange();
   group.run(Ms(6000));
   expectNextCommit(group, "after the stall");
   EXPECT_NE(waitForPrimary(group), primary);
-  EXPECT_TRUE(group.complaints.empty());
+  EXPECT_TRUE(group.violations.empty());
 }
 
 TEST(ReplicationGroup, OneWayCutsAndIsolationNeverLeadToTwoHistories) {
@@ -775,12 +775,12 @@
       }
       for (int round = 0; round < 200; ++round) {
         group.run(Ms(50));
-        group.offer();
+        group.proposeChange();
       }
-      group.mendAll();
+      group.healLinks();
       group.run(Ms(3000));
       expectNextCommit(group, "after the end of the cut " + std::to_string(from) + std::to_string(to));
-      EXPECT_TRUE(group.complaints.empty());
+      EXPECT_TRUE(group.violations.empty());
     }
   }
 }
@@ -812,11 +812,11 @@
         group.cut(other, primary);
       }
       group.run(Ms(4000));
-      group.mendAll();
+      group.healLinks();
       group.run(Ms(1500));
       expectNextCommit(group, "after the power loss at " + std::to_string(waitMs));
       contestedElections += group.nodes[primary].group.fenced() > 0 && group.nodes[backup].group.fenced() > 0 ? 1 : 0;
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << waitMs << " seed " << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << waitMs << " seed " << seed;
     }
   }
   EXPECT_GT(contestedElections, 100u);
@@ -845,7 +845,7 @@
       return;
     case 7:
     case 8:
-      group.mendAll();
+      group.healLinks();
       return;
     default:
       return;
@@ -862,7 +862,7 @@
     std::size_t wipes = 0;
     for (int round = 0; round < 600; ++round) {
       group.run(Ms(20 + static_cast<long>(group.network.roll(80))));
-      group.offer();
+      group.proposeChange();
       std::size_t const index = group.network.roll(count);
       SimulatedMember& node = group.nodes[index];
       std::uint64_t const draw = group.network.roll(24);
@@ -891,10 +891,10 @@
               })) {
             group.wipe(index);
             ++wipes;
-            group.mendAll();
+            group.healLinks();
             for (int wait = 0; wait < 300; ++wait) {
               group.run(Ms(50));
-              group.offer();
+              group.proposeChange();
             }
             group.start(index);
             group.run(Ms(12'000));
@@ -913,7 +913,7 @@
           break;
       }
     }
-    group.mendAll();
+    group.healLinks();
     group.setLoss(0);
     for (std::size_t index = 0; index < count; ++index) {
       if (group.nodes[index].diskStuck) {
@@ -925,7 +925,7 @@
       group.thaw(index);
     }
     expectNextCommit(group, "after the faults of seed " + std::to_string(seed));
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << "seed " << seed;
     EXPECT_EQ(group.fleets.size(), 1u) << "seed " << seed;
     commits += group.commits;
     takeovers += group.takeovers;
@@ -946,7 +946,7 @@
     expectNextCommit(group, "before the faults of seed " + std::to_string(seed));
     for (int round = 0; round < 400; ++round) {
       group.run(Ms(20 + static_cast<long>(group.network.roll(80))));
-      group.offer();
+      group.proposeChange();
       std::size_t const index = group.network.roll(count);
       SimulatedMember& node = group.nodes[index];
       std::uint64_t const draw = group.network.roll(16);
@@ -976,7 +976,7 @@
       }
       failedStoreCount += node.storeFailed ? 1 : 0;
     }
-    group.mendAll();
+    group.healLinks();
     group.setLoss(0);
     for (std::size_t index = 0; index < count; ++index) {
       group.nodes[index].diskFull = false;
@@ -990,7 +990,7 @@
       EXPECT_FALSE(node.group.unhealthy()) << node.id << " of seed " << seed;
     }
     expectNextCommit(group, "after the faults of seed " + std::to_string(seed));
-    EXPECT_EQ(group.complaints, std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(group.violations, std::vector<std::string>{}) << "seed " << seed;
     EXPECT_EQ(group.fleets.size(), 1u) << "seed " << seed;
     commits += group.commits;
   }
--- a/tests/second_loss_test.cpp
+++ b/tests/second_loss_test.cpp
@@ -51,7 +51,7 @@
   std::size_t const before = group.commits;
   for (Ms passed{0}; passed < within && group.commits == before; passed += Ms(10)) {
     group.run(Ms(10));
-    group.offer();
+    group.proposeChange();
   }
   return group.commits > before;
 }
@@ -60,7 +60,7 @@
 void proposeFor(ReplicationSimulation& group, Ms time) {
   for (Ms passed{0}; passed < time; passed += Ms(100)) {
     group.run(Ms(100));
-    group.offer();
+    group.proposeChange();
   }
 }
 
@@ -71,7 +71,7 @@
       return std::nullopt;
     }
     group.run(Ms(10));
-    group.offer();
+    group.proposeChange();
   }
   return std::chrono::duration_cast<Ms>(group.network.now() - startedAt);
 }
@@ -127,12 +127,12 @@
     std::vector<Ms> times;
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
       ReplicationSimulation group = redundantGroup(seed, roles + 1 + seed % 2, losses);
-      group.offer();
+      group.proposeChange();
       injectLoss(group, membersByRole(group)[seed % roles], seed % 3 == 0 ? LossKind::killed : LossKind::wiped);
       std::optional<Ms> const time = waitForRedundancy(group, losses, Ms(20'000));
       ASSERT_TRUE(time.has_value()) << losses << " seed " << seed;
       times.push_back(*time);
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     }
     printDistribution("machineLosses " + std::to_string(losses) + ", with a spare, from the loss", times);
     EXPECT_LT(*std::max_element(times.begin(), times.end()), lossWindow);
@@ -145,7 +145,7 @@
     std::vector<Ms> times;
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
       ReplicationSimulation group = redundantGroup(seed, roles, losses);
-      group.offer();
+      group.proposeChange();
       std::size_t const lost = membersByRole(group)[seed % roles];
       group.wipeInPlace(lost);
       group.run(Ms(static_cast<long>(group.network.roll(3000))));
@@ -153,7 +153,7 @@
       std::optional<Ms> const time = waitForRedundancy(group, losses, Ms(20'000));
       ASSERT_TRUE(time.has_value()) << losses << " seed " << seed;
       times.push_back(*time);
-      EXPECT_EQ(group.complaints, std::vector<std::string>{}) << seed;
+      EXPECT_EQ(group.violations, std::vector<std::string>{}) << seed;
     }
     printDistribution("machineLosses " + std::to_string(losses) + ", no spare, from its empty return", times);
     EXPECT_LT(*std::max_element(times.begin(), times.end()), lossWindow);
@@ -169,15 +169,15 @@
         }
         ReplicationSimulation group = redundantGroup(1 + static_cast<std::uint64_t>(waitMs), 4, 1);
         std::vector<std::size_t> const roles = membersByRole(group);
-        group.offer();
+        group.proposeChange();
         group.wipe(roles[first]);
         group.run(Ms(waitMs));
-        group.offer();
+        group.proposeChange();
         group.kill(roles[second], true);
         group.run(Ms(1000));
         group.start(roles[second]);
         EXPECT_TRUE(commitsWithin(group, commitTimeout)) << first << " then " << second << " after " << waitMs;
-        EXPECT_EQ(group.complaints, std::vector<std::string>{}) << first << " then " << second << " after " << waitMs;
+        EXPECT_EQ(group.violations, std::vector<std::string>{}) << first << " then " << second << " after " << waitMs;
       }
     }
   }
@@ -193,14 +193,14 @@
           }
           ReplicationSimulation group = redundantGroup(count + static_cast<std::uint64_t>(waitMs), count, 2);
           std::vector<std::size_t> const roles = membersByRole(group);
-          group.offer();
+          group.proposeChange();
           group.wipe(roles[first]);
           group.run(Ms(waitMs + static_cast<long>(group.network.roll(500))));
-          group.offer();
+          group.proposeChange();
           group.wipe(roles[second]);
           EXPECT_TRUE(commitsWithin(group, commitTimeout))
               << count << ": " << first << ", " << second << " at " << waitMs;
-          EXPECT_EQ(group.complaints, std::vector<std::string>{}) << count << ": " << first << ", " << second;
+          EXPECT_EQ(group.violations, std::vector<std::string>{}) << count << ": " << first << ", " << second;
         }
       }
     }
@@ -218,19 +218,19 @@
         for (long waitMs = 0; waitMs <= 6000; waitMs += 250) {
           ReplicationSimulation group = redundantGroup(count + static_cast<std::uint64_t>(waitMs), count, 1);
           std::vector<std::size_t> const before = membersByRole(group);
-          group.offer();
+          group.proposeChange();
           group.wipe(before[first]);
           group.run(Ms(waitMs));
           bool const redundant = fullyRedundant(group, 1);
           std::vector<std::size_t> roles = redundant ? membersByRole(group) : before;
           roles.erase(std::remove(roles.begin(), roles.end(), before[first]), roles.end());
-          group.offer();
+          group.proposeChange();
           group.wipe(roles[second % roles.size()]);
           bool const continued = commitsWithin(group, commitTimeout);
           lossesDuringRepair += redundant ? 0 : 1;
           continuedCount += !redundant && continued ? 1 : 0;
           EXPECT_TRUE(continued || !redundant) << count << ": " << first << ", " << second << " after " << waitMs;
-          EXPECT_EQ(group.complaints, std::vector<std::string>{}) << count << ": " << first << ", " << second;
+          EXPECT_EQ(group.violations, std::vector<std::string>{}) << count << ": " << first << ", " << second;
         }
       }
     }
@@ -249,10 +249,10 @@
         group.run(Ms(static_cast<long>(group.network.roll(2500))));
         group.start(lost);
         group.run(Ms(waitMs));
-        group.offer();
+        group.proposeChange();
         injectLoss(group, lost, kind);
         EXPECT_TRUE(commitsWithin(group, commitTimeout)) << role << " after " << waitMs;
-        EXPECT_EQ(group.complaints, std::vector<std::string>{}) << role << " after " << waitMs;
+        EXPECT_EQ(group.violations, std::vector<std::string>{}) << role << " after " << waitMs;
       }
     }
   }
@@ -269,19 +269,19 @@
           }
           ReplicationSimulation group = redundantGroup(1 + static_cast<std::uint64_t>(waitMs), count, losses);
           std::vector<std::size_t> const roles = membersByRole(group);
-          group.offer();
+          group.proposeChange();
           group.beginShutdown(roles[leaver]);
           TimePoint const requestedAt = group.network.now();
           group.run(Ms(waitMs));
-          group.offer();
+          group.proposeChange();
           group.wipe(roles[other]);
           while (!group.nodes[roles[leaver]].group.mayShutDown() && group.network.now() - requestedAt < Ms(6000)) {
             group.run(Ms(10));
-            group.offer();
+            group.proposeChange();
           }
           group.wipe(roles[leaver]);
           EXPECT_TRUE(commitsWithin(group, commitTimeout)) << leaver << " left, " << other << " lost after " << waitMs;
-          EXPECT_EQ(group.complaints, std::vector<std::string>{}) << leaver << " left, " << other << " lost";
+          EXPECT_EQ(group.violations, std::vector<std::string>{}) << leaver << " left, " << other << " lost";
         }
       }
     }
@@ -298,11 +298,11 @@
         ASSERT_TRUE(waitForRedundancy(group, losses, Ms(20'000)).has_value());
         group.start(lost);
         group.run(Ms(8000));
-        group.offer();
+        group.proposeChange();
         group.wipe(zone);
         group.wipe(zone + 4);
         EXPECT_TRUE(commitsWithin(group, commitTimeout)) << losses << " zone " << zone << " seed " << seed;
-        EXPECT_EQ(group.complaints, std::vector<std::string>{}) << losses << " zone " << zone << " seed " << seed;
+        EXPECT_EQ(group.violations, std::vector<std::string>{}) << losses << " zone " << zone << " seed " << seed;
       }
     }
   }
@@ -338,7 +338,7 @@
             }
           }
           EXPECT_TRUE(commitsWithin(group, commitTimeout));
-          EXPECT_EQ(group.complaints, std::vector<std::string>{});
+          EXPECT_EQ(group.violations, std::vector<std::string>{});
         }
       }
     }
