--- a/test_support/capacity/cost_benchmark.cpp
+++ b/test_support/capacity/cost_benchmark.cpp
@@ -35,21 +35,21 @@
 using Values = std::vector<double>;
 
 struct Row {
-  std::string what;
-  std::map<std::string, double> at;
+  std::string label;
+  std::map<std::string, double> parameters;
   std::string unit;
   Values values;
 };
 
 std::vector<Row> rows;
 
-double threadUs() {
+double threadCpuUs() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
-double processUs() {
+double processCpuUs() {
   rusage used{};
   getrusage(RUSAGE_SELF, &used);
   return static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) * 1e6 +
@@ -69,7 +69,7 @@
   return resident * 4096;
 }
 
-double descriptors() {
+double openDescriptors() {
   double count = 0;
   for (std::filesystem::directory_entry const& entry : std::filesystem::directory_iterator("/proc/self/fd")) {
     count += entry.path().empty() ? 0 : 1;
@@ -77,27 +77,28 @@
   return count;
 }
 
-void add(std::string const& what, std::map<std::string, double> const& at, std::string const& unit, double value) {
+void addSample(std::string const& label, std::map<std::string, double> const& parameters, std::string const& unit,
+               double value) {
   for (Row& row : rows) {
-    if (row.what == what && row.at == at) {
+    if (row.label == label && row.parameters == parameters) {
       row.values.push_back(value);
       return;
     }
   }
-  rows.push_back({what, at, unit, {value}});
+  rows.push_back({label, parameters, unit, {value}});
 }
 
-void measureMark() {
+void measureReferenceHash() {
   std::string const block(1 << 20, 'x');
-  double const from = threadUs();
+  double const from = threadCpuUs();
   std::uint64_t volatile sum = 0;
   for (int round = 0; round < 100; ++round) {
     sum = XXH64(block.data(), block.size(), sum);
   }
-  add("hash of 1 MiB, for comparison", {}, "us", (threadUs() - from) / 100);
+  addSample("hash of 1 MiB, for comparison", {}, "us", (threadCpuUs() - from) / 100);
 }
 
-std::string partBody(std::string const& shard, std::string const& request, std::size_t records) {
+std::string shardResultBody(std::string const& shard, std::string const& request, std::size_t records) {
   std::string body =
       "{\"stamp\":{\"shard\":\"" + shard + "\",\"cut\":\"c1\",\"request\":\"" + request + "\"},\"records\":[";
   for (std::size_t index = 0; index < records; ++index) {
@@ -107,27 +108,27 @@
   return body + "]}";
 }
 
-void measureParts(std::size_t parts) {
+void measureShardResults(std::size_t parts) {
   std::vector<std::string> bodies;
   for (std::size_t index = 0; index < parts; ++index) {
-    bodies.push_back(partBody("p" + std::to_string(index), "r", 10));
+    bodies.push_back(shardResultBody("p" + std::to_string(index), "r", 10));
   }
-  std::vector<dispatch::ShardResultPtr> read;
-  double const from = threadUs();
+  std::vector<dispatch::ShardResultPtr> parsed;
+  double const from = threadCpuUs();
   for (std::size_t index = 0; index < parts; ++index) {
     absl::StatusOr<dispatch::ShardResult> part =
         dispatch::parseShardResult(bodies[index], {"p" + std::to_string(index), "c1", "r"}, 10);
-    read.push_back(std::make_shared<dispatch::ShardResult const>(*std::move(part)));
+    parsed.push_back(std::make_shared<dispatch::ShardResult const>(*std::move(part)));
   }
-  double const between = threadUs();
-  std::size_t kept = 0;
+  double const between = threadCpuUs();
+  std::size_t mergedRecords = 0;
   for (int round = 0; round < 5; ++round) {
-    kept += dispatch::mergeShardResults(read, 10).size();
+    mergedRecords += dispatch::mergeShardResults(parsed, 10).size();
   }
-  double const to = threadUs();
+  double const to = threadCpuUs();
   double const count = static_cast<double>(parts);
-  add("one part read, 10 records of 96 bytes", {{"parts", count}}, "us", (between - from) / count);
-  add("one part merged", {{"parts", count}}, "us", (to - between) / 5 / count + (kept == 0 ? 1 : 0));
+  addSample("one part read, 10 records of 96 bytes", {{"parts", count}}, "us", (between - from) / count);
+  addSample("one part merged", {{"parts", count}}, "us", (to - between) / 5 / count + (mergedRecords == 0 ? 1 : 0));
 }
 
 config::SnapshotPtr snapshotOf(std::size_t shards) {
@@ -152,21 +153,21 @@
   RequestManager requestManager(NodeIdentity{"m1", "10.0.0.1:7000", "z1", 5}, dispatch::DispatchOptions{});
   retry::TimePoint now{std::chrono::hours(1)};
   std::deque<SendRequest> sent;
-  std::deque<ParseShardResult> grinds;
-  std::deque<MergeShardResults> merges;
+  std::deque<ParseShardResult> parses;
+  std::deque<MergeShardResults> mergeEffects;
   std::size_t replies = 0;
   double spentUs = 0;
   std::function<void(RequestEvent const&)> const step = [&](RequestEvent const& event) {
-    double const from = threadUs();
+    double const from = threadCpuUs();
     std::vector<RequestEffect> effects = requestManager.step(now, event);
-    spentUs += threadUs() - from;
+    spentUs += threadCpuUs() - from;
     for (RequestEffect& effect : effects) {
       if (SendRequest* const send = std::get_if<SendRequest>(&effect)) {
         sent.push_back(std::move(*send));
-      } else if (ParseShardResult* const grind = std::get_if<ParseShardResult>(&effect)) {
-        grinds.push_back(std::move(*grind));
+      } else if (ParseShardResult* const parse = std::get_if<ParseShardResult>(&effect)) {
+        parses.push_back(std::move(*parse));
       } else if (MergeShardResults* const merge = std::get_if<MergeShardResults>(&effect)) {
-        merges.push_back(std::move(*merge));
+        mergeEffects.push_back(std::move(*merge));
       } else if (std::holds_alternative<Reply>(effect)) {
         ++replies;
       }
@@ -186,19 +187,19 @@
     step(EndpointsChanged{servers});
   }
   double const count = static_cast<double>(shards);
-  std::map<std::string, double> const at{{"shards", count}, {"in_flight", static_cast<double>(inFlight)}};
-  add("memory for a server in the front's tables", at, "bytes", (heapBytes() - heapBefore) / (count * 5));
-  std::uint64_t last = 0;
+  std::map<std::string, double> const parameters{{"shards", count}, {"in_flight", static_cast<double>(inFlight)}};
+  addSample("memory for a server in the front's tables", parameters, "bytes", (heapBytes() - heapBefore) / (count * 5));
+  std::uint64_t lastRequest = 0;
   double arriveUs = 0;
   double answerUs = 0;
   double tickUs = 0;
   double ticks = 0;
   double exchanges = 0;
   for (std::size_t round = 0; round < rounds; ++round) {
-    std::uint64_t const before = last;
+    std::uint64_t const before = lastRequest;
     spentUs = 0;
-    while (last < before + inFlight) {
-      step(RequestReceived{++last,
+    while (lastRequest < before + inFlight) {
+      step(RequestReceived{++lastRequest,
                            {"GET", "/all?q=x", {{"limeramp-tenant", "t"}, {"accept", "application/json"}}, "", ""},
                            false,
                            std::nullopt});
@@ -209,16 +210,16 @@
     while (!sent.empty()) {
       SendRequest const out = std::move(sent.front());
       sent.pop_front();
-      std::string const body = partBody(*net::findHeader(out.content.headers, "limeramp-shard"),
-                                        *net::findHeader(out.content.headers, "limeramp-request"), 10);
+      std::string const body = shardResultBody(*net::findHeader(out.content.headers, "limeramp-shard"),
+                                               *net::findHeader(out.content.headers, "limeramp-request"), 10);
       spentUs = 0;
       step(ExchangeFinished{out.attempt,
                             {net::Answer{200, {{"content-type", "application/json"}}, body}, retry::Verdict::ran, ""}});
-      while (!grinds.empty()) {
-        ParseShardResult const grind = std::move(grinds.front());
-        grinds.pop_front();
-        step(ShardResultParsed{grind.attempt, dispatch::parseShardResult(grind.body, grind.expected, grind.resultSize),
-                               grind.load});
+      while (!parses.empty()) {
+        ParseShardResult const parse = std::move(parses.front());
+        parses.pop_front();
+        step(ShardResultParsed{parse.attempt, dispatch::parseShardResult(parse.body, parse.expected, parse.resultSize),
+                               parse.load});
       }
       answerUs += spentUs;
       ++exchanges;
@@ -231,9 +232,9 @@
       }
     }
     spentUs = 0;
-    while (!merges.empty()) {
-      MergeShardResults const merge = std::move(merges.front());
-      merges.pop_front();
+    while (!mergeEffects.empty()) {
+      MergeShardResults const merge = std::move(mergeEffects.front());
+      mergeEffects.pop_front();
       step(MergeFinished{merge.request, dispatch::mergeShardResults(merge.shardResults, merge.resultSize)});
     }
     answerUs += spentUs;
@@ -241,15 +242,16 @@
   if (replies != rounds * inFlight) {
     std::fprintf(stderr, "%zu of %zu queries answered\n", replies, rounds * inFlight);
   }
-  add("decisions at arrival, for one exchange", at, "us", arriveUs / exchanges);
-  add("decisions at answer, for one exchange", at, "us", answerUs / exchanges);
-  add("one round of the timer", at, "us", tickUs / std::max(1.0, ticks));
+  addSample("decisions at arrival, for one exchange", parameters, "us", arriveUs / exchanges);
+  addSample("decisions at answer, for one exchange", parameters, "us", answerUs / exchanges);
+  addSample("one round of the timer", parameters, "us", tickUs / std::max(1.0, ticks));
 }
 
-// Servers of 5.6 to 10.4 ms, one answer in a thousand 100 ms late; one front, 200 queries a second, all answers wanted.
-void measureTail(std::size_t shards, double depth, std::uint64_t seed) {
+// Servers answer within 5.6 to 10.4 ms, one answer in a thousand 100 ms later. One gateway sends 200 queries a second
+// and wants the answers of all shards.
+void measureTailLatency(std::size_t shards, double depth, std::uint64_t seed) {
   simulator::SimulatedNetwork network(seed);
-  dispatch::Dispatcher machine(dispatch::DispatchOptions{});
+  dispatch::Dispatcher dispatcher(dispatch::DispatchOptions{});
   std::vector<std::string> names;
   std::map<std::uint64_t, retry::TimePoint> arrivedAt;
   Values tookMs;
@@ -257,7 +259,7 @@
   std::size_t complete = 0;
   std::size_t missing = 0;
   std::function<void(dispatch::DispatchEvent const&)> step = [&](dispatch::DispatchEvent const& event) {
-    for (dispatch::DispatchEffect const& effect : machine.step(network.now(), event)) {
+    for (dispatch::DispatchEffect const& effect : dispatcher.step(network.now(), event)) {
       if (dispatch::SendAttempt const* const send = std::get_if<dispatch::SendAttempt>(&effect)) {
         std::chrono::microseconds const wait(5'600 + network.roll(4'800) + (network.roll(1000) == 0 ? 100'000 : 0));
         std::uint64_t const attempt = send->attempt;
@@ -287,10 +289,10 @@
     }
     step(servers);
   }
-  std::uint64_t const warm = 100;
-  std::uint64_t const all = 400;
-  for (std::uint64_t request = 1; request <= all; ++request) {
-    if (request > warm) {
+  std::uint64_t const warmUpRequests = 100;
+  std::uint64_t const totalRequests = 400;
+  for (std::uint64_t request = 1; request <= totalRequests; ++request) {
+    if (request > warmUpRequests) {
       arrivedAt[request] = network.now();
     }
     step(dispatch::RequestArrived{request, "t", names, shards / 2, 2, true, network.now() + Ms(66)});
@@ -305,44 +307,45 @@
     step(dispatch::Tick{});
   }
   std::sort(tookMs.begin(), tookMs.end());
-  std::map<std::string, double> const at{{"shards", static_cast<double>(shards)}, {"budget_depth", depth}};
+  std::map<std::string, double> const parameters{{"shards", static_cast<double>(shards)}, {"budget_depth", depth}};
   double const count = static_cast<double>(std::max<std::size_t>(1, answered));
-  add("queries with all shards within 66 ms", at, "%", 100 * static_cast<double>(complete) / count);
-  add("shards missing in a query", at, "", static_cast<double>(missing) / count);
-  add("half of the queries answered within", at, "ms", tookMs[tookMs.size() / 2]);
-  add("99 in 100 answered within", at, "ms", tookMs[tookMs.size() * 99 / 100]);
-  add("extra attempts for a first one", at, "%",
-      100 * static_cast<double>(machine.counters().hedgedAttempts) / static_cast<double>(machine.counters().attempts));
+  addSample("queries with all shards within 66 ms", parameters, "%", 100 * static_cast<double>(complete) / count);
+  addSample("shards missing in a query", parameters, "", static_cast<double>(missing) / count);
+  addSample("half of the queries answered within", parameters, "ms", tookMs[tookMs.size() / 2]);
+  addSample("99 in 100 answered within", parameters, "ms", tookMs[tookMs.size() * 99 / 100]);
+  addSample("extra attempts for a first one", parameters, "%",
+            100 * static_cast<double>(dispatcher.counters().hedgedAttempts) /
+                static_cast<double>(dispatcher.counters().attempts));
 }
 
-struct Post {
+struct ExchangeProgress {
   std::mutex mutex;
   std::condition_variable changed;
-  std::size_t back = 0;
-  std::size_t good = 0;
-  std::vector<net::Responder> held;
+  std::size_t finished = 0;
+  std::size_t answered = 0;
+  std::vector<net::Responder> heldResponders;
 };
 
 void measureExchanges(std::size_t wanted) {
   net::Network network;
-  net::Network far;
+  net::Network serverNetwork;
   std::string error;
-  std::string const body = partBody("p0", "r", 10);
+  std::string const body = shardResultBody("p0", "r", 10);
   std::unique_ptr<net::HttpServer> const server = net::HttpServer::listen(
-      far, *net::Address::parse("127.0.0.1:0"), {},
+      serverNetwork, *net::Address::parse("127.0.0.1:0"), {},
       [&body](net::Request const&, net::Responder respond) {
         respond({200, {{"content-type", "application/json"}, {"limeramp-load", "0.3"}}, body});
       },
       error);
   net::HttpClient client(network, {});
   net::Address const address = server->address();
-  Post post;
-  std::function<void(std::size_t)> const go = [&](std::size_t count) {
+  ExchangeProgress progress;
+  std::function<void(std::size_t)> const runExchanges = [&](std::size_t count) {
     std::size_t begun = 0;
-    std::unique_lock<std::mutex> lock(post.mutex);
-    post.back = 0;
-    while (post.back < count) {
-      while (begun < count && begun - post.back < 16) {
+    std::unique_lock<std::mutex> lock(progress.mutex);
+    progress.finished = 0;
+    while (progress.finished < count) {
+      while (begun < count && begun - progress.finished < 16) {
         ++begun;
         lock.unlock();
         client.begin(begun, address,
@@ -356,74 +359,75 @@
                       "",
                       ""},
                      std::chrono::steady_clock::now() + std::chrono::seconds(5),
-                     [&post](net::Exchange const& exchange) {
-                       std::unique_lock<std::mutex> const hold(post.mutex);
-                       ++post.back;
-                       post.good += exchange.answer ? 1 : 0;
-                       post.changed.notify_one();
+                     [&progress](net::Exchange const& exchange) {
+                       std::unique_lock<std::mutex> const guard(progress.mutex);
+                       ++progress.finished;
+                       progress.answered += exchange.answer ? 1 : 0;
+                       progress.changed.notify_one();
                      });
         lock.lock();
       }
-      std::size_t const seen = post.back;
-      post.changed.wait(lock, [&] { return post.back > seen || post.back == count; });
+      std::size_t const seen = progress.finished;
+      progress.changed.wait(lock, [&] { return progress.finished > seen || progress.finished == count; });
     }
   };
-  go(200);
-  double const from = processUs();
-  go(wanted);
-  add("one exchange over loopback, both ends", {{"exchanges", static_cast<double>(wanted)}}, "us",
-      (processUs() - from) / static_cast<double>(wanted));
-  if (post.good != wanted + 200) {
-    std::fprintf(stderr, "%zu of %zu exchanges answered\n", post.good, wanted + 200);
+  runExchanges(200);
+  double const from = processCpuUs();
+  runExchanges(wanted);
+  addSample("one exchange over loopback, both ends", {{"exchanges", static_cast<double>(wanted)}}, "us",
+            (processCpuUs() - from) / static_cast<double>(wanted));
+  if (progress.answered != wanted + 200) {
+    std::fprintf(stderr, "%zu of %zu exchanges answered\n", progress.answered, wanted + 200);
   }
   network.stop();
-  far.stop();
+  serverNetwork.stop();
 }
 
 void measureConnections(std::size_t wanted) {
   net::Network network;
-  net::Network far;
+  net::Network serverNetwork;
   std::string error;
-  Post post;
+  ExchangeProgress progress;
   std::unique_ptr<net::HttpServer> const server = net::HttpServer::listen(
-      far, *net::Address::parse("127.0.0.1:0"), {},
-      [&post](net::Request const&, net::Responder respond) {
-        std::unique_lock<std::mutex> const hold(post.mutex);
-        post.held.push_back(std::move(respond));
-        post.changed.notify_one();
+      serverNetwork, *net::Address::parse("127.0.0.1:0"), {},
+      [&progress](net::Request const&, net::Responder respond) {
+        std::unique_lock<std::mutex> const guard(progress.mutex);
+        progress.heldResponders.push_back(std::move(respond));
+        progress.changed.notify_one();
       },
       error);
   net::HttpClient client(network, {64 << 10, wanted, Ms(60'000)});
   double const residentBefore = residentBytes();
-  double const descriptorsBefore = descriptors();
+  double const descriptorsBefore = openDescriptors();
   for (std::size_t index = 1; index <= wanted; ++index) {
     client.begin(index, server->address(), {"GET", "/", {}, "", ""},
-                 std::chrono::steady_clock::now() + std::chrono::seconds(30), [&post](net::Exchange const& exchange) {
-                   std::unique_lock<std::mutex> const hold(post.mutex);
-                   ++post.back;
-                   post.good += exchange.answer ? 1 : 0;
-                   post.changed.notify_one();
+                 std::chrono::steady_clock::now() + std::chrono::seconds(30),
+                 [&progress](net::Exchange const& exchange) {
+                   std::unique_lock<std::mutex> const guard(progress.mutex);
+                   ++progress.finished;
+                   progress.answered += exchange.answer ? 1 : 0;
+                   progress.changed.notify_one();
                  });
   }
-  std::unique_lock<std::mutex> lock(post.mutex);
-  post.changed.wait(lock, [&] { return post.held.size() == wanted; });
+  std::unique_lock<std::mutex> lock(progress.mutex);
+  progress.changed.wait(lock, [&] { return progress.heldResponders.size() == wanted; });
   double const count = static_cast<double>(wanted);
-  add("memory for a connection, both ends, an exchange under way", {{"connections", count}}, "bytes",
-      (residentBytes() - residentBefore) / count);
-  add("descriptors for a connection, both ends", {{"connections", count}}, "",
-      (descriptors() - descriptorsBefore) / count);
-  std::vector<net::Responder> const held = std::move(post.held);
+  addSample("memory for a connection, both ends, an exchange under way", {{"connections", count}}, "bytes",
+            (residentBytes() - residentBefore) / count);
+  addSample("descriptors for a connection, both ends", {{"connections", count}}, "",
+            (openDescriptors() - descriptorsBefore) / count);
+  std::vector<net::Responder> const heldResponders = std::move(progress.heldResponders);
   lock.unlock();
-  for (net::Responder const& respond : held) {
+  for (net::Responder const& respond : heldResponders) {
     respond({200, {}, "x"});
   }
   lock.lock();
-  post.changed.wait(lock, [&] { return post.back == wanted; });
+  progress.changed.wait(lock, [&] { return progress.finished == wanted; });
   lock.unlock();
-  add("memory for a connection, both ends, idle", {{"connections", count}}, "bytes",
-      (residentBytes() - residentBefore) / count);
+  addSample("memory for a connection, both ends, idle", {{"connections", count}}, "bytes",
+            (residentBytes() - residentBefore) / count);
   network.stop();
-  far.stop();
+  serverNetwork.stop();
 }
 
 messages::State stateOf(std::size_t nodes, std::size_t documentBytes) {
@@ -445,32 +449,33 @@
 }
 
 void measureState(std::size_t nodes) {
-  std::map<std::string, double> const at{{"nodes", static_cast<double>(nodes)}};
+  std::map<std::string, double> const parameters{{"nodes", static_cast<double>(nodes)}};
   messages::StateResponse response;
   response.node = "m1000";
   response.state = stateOf(nodes, 80'000);
-  double const from = threadUs();
-  std::string fenced;
+  double const from = threadCpuUs();
+  std::string encoded;
   for (int round = 0; round < 5; ++round) {
-    fenced = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", response});
+    encoded = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", response});
   }
-  double const between = threadUs();
+  double const between = threadCpuUs();
   for (int round = 0; round < 5; ++round) {
-    absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(fenced);
+    absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(encoded);
     if (!received.ok()) {
-      std::fprintf(stderr, "the snapshot does not read\n");
+      std::fprintf(stderr, "the snapshot does not decode\n");
     }
   }
-  add("snapshot sealed, 80,000 bytes of configuration", at, "us", (between - from) / 5);
-  add("snapshot unsealed", at, "us", (threadUs() - between) / 5);
-  add("size of a snapshot", at, "bytes", static_cast<double>(fenced.size()));
+  addSample("snapshot sealed, 80,000 bytes of configuration", parameters, "us", (between - from) / 5);
+  addSample("snapshot unsealed", parameters, "us", (threadCpuUs() - between) / 5);
+  addSample("size of a snapshot", parameters, "bytes", static_cast<double>(encoded.size()));
   double const heapBefore = heapBytes();
-  std::deque<messages::State> const kept(8, *response.state);
-  add("memory for the state in a node", at, "bytes", (heapBytes() - heapBefore) / static_cast<double>(kept.size()));
+  std::deque<messages::State> const copies(8, *response.state);
+  addSample("memory for the state in a node", parameters, "bytes",
+            (heapBytes() - heapBefore) / static_cast<double>(copies.size()));
 }
 
-void measurePoll(std::size_t followers) {
-  std::map<std::string, double> const at{{"followers", static_cast<double>(followers)}};
+void measureStateRequest(std::size_t followers) {
+  std::map<std::string, double> const parameters{{"followers", static_cast<double>(followers)}};
   messages::StateRequest poll;
   poll.token = 1'234'567;
   poll.self = {"m1000", "10.1.0.1:7000", "z1", 3, 400};
@@ -480,27 +485,27 @@
     poll.followers.push_back({name, "10.1.0." + std::to_string(index + 2) + ":7000", "z1", 3, 400});
     poll.peerStatuses.push_back({name, 1'234'567'890'123 + index, false, {}});
   }
-  double const from = threadUs();
-  std::string fenced;
+  double const from = threadCpuUs();
+  std::string encoded;
   for (int round = 0; round < 50; ++round) {
-    fenced = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", poll});
+    encoded = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", poll});
   }
-  double const between = threadUs();
+  double const between = threadCpuUs();
   for (int round = 0; round < 50; ++round) {
-    absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(fenced);
+    absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(encoded);
     if (!received.ok()) {
-      std::fprintf(stderr, "the poll does not read\n");
+      std::fprintf(stderr, "the poll does not decode\n");
     }
   }
-  add("size of a home's poll", at, "bytes", static_cast<double>(fenced.size()));
-  add("home's poll sealed", at, "us", (between - from) / 50);
-  add("home's poll unsealed", at, "us", (threadUs() - between) / 50);
+  addSample("size of a home's poll", parameters, "bytes", static_cast<double>(encoded.size()));
+  addSample("home's poll sealed", parameters, "us", (between - from) / 50);
+  addSample("home's poll unsealed", parameters, "us", (threadCpuUs() - between) / 50);
 }
 
 std::string documentOf(std::size_t shards, std::size_t routes) {
   std::string services;
   std::string searches;
-  std::string ways;
+  std::string routeEntries;
   for (std::size_t index = 0; index < shards; ++index) {
     std::string const name = "\"p" + std::to_string(index) + "\"";
     services += (index == 0 ? "" : ",") + name + ":{\"capacity\":50}";
@@ -512,35 +517,35 @@
     searches += "{\"service\":" + name + ",\"cut\":\"c1\"}";
   }
   for (std::size_t index = 0; index < routes; ++index) {
-    ways += std::string(index == 0 ? "" : ",") + "\"r" + std::to_string(index) +
-            "\":{\"tenant\":\"t\",\"prefix\":\"/r" + std::to_string(index) + "\",\"service\":\"p0\"}";
+    routeEntries += std::string(index == 0 ? "" : ",") + "\"r" + std::to_string(index) +
+                    "\":{\"tenant\":\"t\",\"prefix\":\"/r" + std::to_string(index) + "\",\"service\":\"p0\"}";
   }
-  return "{\"services\":{" + services + "},\"searches\":{" + searches + "]}},\"routes\":{" + ways + "}}";
+  return "{\"services\":{" + services + "},\"searches\":{" + searches + "]}},\"routes\":{" + routeEntries + "}}";
 }
 
 void measureConfiguration(std::size_t shards, std::size_t routes) {
-  std::map<std::string, double> const at{{"shards", static_cast<double>(shards)},
-                                         {"routes", static_cast<double>(routes)}};
+  std::map<std::string, double> const parameters{{"shards", static_cast<double>(shards)},
+                                                 {"routes", static_cast<double>(routes)}};
   std::string const text = documentOf(shards, routes);
   double const heapBefore = heapBytes();
-  double const from = threadUs();
-  std::optional<config::Configuration> kept;
+  double const from = threadCpuUs();
+  std::optional<config::Configuration> configuration;
   {
     config::CheckedConfiguration checked = config::checkConfiguration(*config::parseJson(text));
     if (!checked.configuration) {
-      std::fprintf(stderr, "refused: %s %s\n", checked.problems.front().path.c_str(),
+      std::fprintf(stderr, "configuration rejected: %s %s\n", checked.problems.front().path.c_str(),
                    checked.problems.front().reason.c_str());
       return;
     }
-    kept = std::move(checked.configuration);
+    configuration = std::move(checked.configuration);
   }
-  add("configuration read and checked", at, "us", threadUs() - from);
-  add("size of the configuration", at, "bytes", static_cast<double>(text.size()));
-  add("memory for the configuration in a node, text left out", at, "bytes", heapBytes() - heapBefore);
+  addSample("configuration read and checked", parameters, "us", threadCpuUs() - from);
+  addSample("size of the configuration", parameters, "bytes", static_cast<double>(text.size()));
+  addSample("memory for the configuration in a node, text left out", parameters, "bytes", heapBytes() - heapBefore);
 }
 
-void measureList(std::size_t servers) {
-  std::map<std::string, double> const at{{"servers", static_cast<double>(servers)}};
+void measureServerList(std::size_t servers) {
+  std::map<std::string, double> const parameters{{"servers", static_cast<double>(servers)}};
   std::string text = "{\"servers\":[";
   for (std::size_t index = 0; index < servers; ++index) {
     text += std::string(index == 0 ? "" : ",") + "{\"address\":\"10.200." + std::to_string(index / 200) + "." +
@@ -548,16 +553,16 @@
             "\",\"zone\":\"z" + std::to_string(index % 18) + "\",\"capacity\":50,\"leaving\":false}";
   }
   text += "]}";
-  double const from = threadUs();
+  double const from = threadCpuUs();
   absl::StatusOr<discovery::List> const list = discovery::readList(text);
-  add("list of servers read", at, "us", threadUs() - from);
-  add("size of the list of servers", at, "bytes", static_cast<double>(text.size()));
+  addSample("list of servers read", parameters, "us", threadCpuUs() - from);
+  addSample("size of the list of servers", parameters, "bytes", static_cast<double>(text.size()));
   if (!list.ok() || list->rows != servers) {
-    std::fprintf(stderr, "the list does not read\n");
+    std::fprintf(stderr, "the list of servers does not parse\n");
   }
 }
 
-void measureViews() {
+void measurePeerViews() {
   double const heapBefore = heapBytes();
   distribution::PeerViews views({}, {"m0", "10.0.0.1:7000", "z1", messages::gatewayRole, 1, 0}, {"10.0.0.2:7000"}, 7);
   messages::Shuffle shuffle{true, {}};
@@ -567,7 +572,7 @@
   }
   views.onMessage(distribution::TimePoint(std::chrono::hours(1)), "m1", "10.1.0.1:7000", shuffle);
   double const after = heapBytes() - heapBefore;
-  add("memory for a known node in a view", {{"peers", 32}}, "bytes", after / 32);
+  addSample("memory for a known node in a view", {{"peers", 32}}, "bytes", after / 32);
 }
 
 std::string report(std::uint64_t rounds) {
@@ -576,9 +581,9 @@
   for (std::size_t index = 0; index < rows.size(); ++index) {
     Row& row = rows[index];
     std::sort(row.values.begin(), row.values.end());
-    out << (index == 0 ? "\n" : ",\n") << "{\"what\":\"" << row.what << "\",\"at\":{";
+    out << (index == 0 ? "\n" : ",\n") << "{\"what\":\"" << row.label << "\",\"at\":{";
     bool first = true;
-    for (std::pair<std::string const, double> const& entry : row.at) {
+    for (std::pair<std::string const, double> const& entry : row.parameters) {
       out << (first ? "" : ",") << "\"" << entry.first << "\":" << entry.second;
       first = false;
     }
@@ -591,28 +596,28 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   cxxopts::Options options("cost_benchmark",
                            "processor time, memory and bytes of one exchange, part, message, snapshot");
   options.add_options()("rounds", "", cxxopts::value<std::uint64_t>()->default_value("5"))(
       "only", "parts, queries, tail, exchanges, connections, control; empty for all",
       cxxopts::value<std::string>()->default_value(""))(
       "exchanges", "", cxxopts::value<std::size_t>()->default_value("20000"))("help", "");
-  cxxopts::ParseResult const given = options.parse(count, words);
-  if (given.count("help") > 0) {
+  cxxopts::ParseResult const flags = options.parse(argc, argv);
+  if (flags.count("help") > 0) {
     std::cout << options.help();
     return 0;
   }
-  std::string const only = given["only"].as<std::string>();
-  std::uint64_t const rounds = given["rounds"].as<std::uint64_t>();
+  std::string const only = flags["only"].as<std::string>();
+  std::uint64_t const rounds = flags["rounds"].as<std::uint64_t>();
   for (std::uint64_t round = 0; round < rounds; ++round) {
-    measureMark();
+    measureReferenceHash();
     if (round == 0 && (only.empty() || only == "connections")) {
       measureConnections(900);
     }
     for (std::size_t const shards : {4, 12, 40, 120, 400, 1200}) {
       if (only.empty() || only == "parts") {
-        measureParts(shards);
+        measureShardResults(shards);
       }
       if (only.empty() || only == "queries") {
         measureQueries(shards, 4, std::max<std::size_t>(1, 800 / shards));
@@ -621,19 +626,19 @@
     for (std::size_t const shards : {4, 40, 400, 1200}) {
       for (double const depth : {0.0, 3.0}) {
         if (only.empty() || only == "tail") {
-          measureTail(shards, depth, round + 1);
+          measureTailLatency(shards, depth, round + 1);
         }
       }
     }
     if (only.empty() || only == "exchanges") {
-      measureExchanges(given["exchanges"].as<std::size_t>());
+      measureExchanges(flags["exchanges"].as<std::size_t>());
     }
     if (only.empty() || only == "control") {
       for (std::size_t const nodes : {50, 100, 200, 400, 650, 1300}) {
         measureState(nodes);
       }
       for (std::size_t const followers : {0, 6, 18, 36, 72}) {
-        measurePoll(followers);
+        measureStateRequest(followers);
       }
       for (std::size_t const shards : {60, 120, 240, 480, 960}) {
         measureConfiguration(shards, 1);
@@ -642,9 +647,9 @@
         measureConfiguration(60, routes);
       }
       for (std::size_t const servers : {500, 1000, 2000, 4000, 6700}) {
-        measureList(servers);
+        measureServerList(servers);
       }
-      measureViews();
+      measurePeerViews();
     }
   }
   std::cout << report(rounds) << "\n";
--- a/test_support/capacity/fleet.cpp
+++ b/test_support/capacity/fleet.cpp
@@ -27,22 +27,22 @@
 using Bytes = std::shared_ptr<std::string const>;
 
 constexpr Ms tickMs{20};
-constexpr Ms noticeMs{600};
-constexpr Ms downMs{2000};
-constexpr Ms replacedAfterMs{5000};
+constexpr Ms shutdownNoticeMs{600};
+constexpr Ms restartDowntimeMs{2000};
+constexpr Ms replacementDelayMs{5000};
 
-std::chrono::nanoseconds processorTime() {
+std::chrono::nanoseconds threadCpuTime() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-class Meter {
+class CpuTimer {
  public:
-  explicit Meter(std::chrono::nanoseconds& sum) : sum_(sum), from_(processorTime()) {}
-  ~Meter() { sum_ += processorTime() - from_; }
-  Meter(Meter const&) = delete;
-  Meter& operator=(Meter const&) = delete;
+  explicit CpuTimer(std::chrono::nanoseconds& sum) : sum_(sum), from_(threadCpuTime()) {}
+  ~CpuTimer() { sum_ += threadCpuTime() - from_; }
+  CpuTimer(CpuTimer const&) = delete;
+  CpuTimer& operator=(CpuTimer const&) = delete;
 
  private:
   std::chrono::nanoseconds& sum_;
@@ -56,28 +56,28 @@
 
 struct SimulatedController {
   std::optional<replication::ReplicationGroup> group;
-  std::optional<control::ConfigService> plane;
+  std::optional<control::ConfigService> configService;
   std::map<std::string, std::string> disk;
 };
 
-struct Sealed {
-  std::pair<std::uint64_t, std::uint64_t> mark{0, 0};
+struct EncodedPush {
+  std::pair<std::uint64_t, std::uint64_t> version{0, 0};
   std::string primaryAddress;
   Bytes bytes;
   std::chrono::nanoseconds cost{0};
 };
 
-struct Opened {
+struct DecodedMessage {
   Bytes bytes;
   std::shared_ptr<messages::PeerMessage const> received;
   std::chrono::nanoseconds cost{0};
 };
 
-constexpr std::size_t worthKeeping = 8'000;
-constexpr std::size_t maxOpened = 64;
+constexpr std::size_t minCachedBytes = 8'000;
+constexpr std::size_t maxCachedMessages = 64;
 
 struct Member {
-  Sealed pushed;
+  EncodedPush lastPush;
   std::string id;
   std::string address;
   std::string zone;
@@ -89,9 +89,9 @@
   std::uint64_t incarnation = 0;
   bool up = false;
   bool hostLost = false;
-  Load load;
-  std::set<std::size_t> talkedTo;
-  std::set<std::size_t> heardFrom;
+  MemberLoad load;
+  std::set<std::size_t> sentTo;
+  std::set<std::size_t> receivedFrom;
 };
 
 std::string addressOf(std::size_t number) {
@@ -107,40 +107,40 @@
 }  // namespace
 
 struct Fleet::Impl {
-  explicit Impl(Shape const& shapeIn) : shape(shapeIn), network(shapeIn.seed) {}
+  explicit Impl(FleetShape const& shapeIn) : shape(shapeIn), network(shapeIn.seed) {}
 
-  Shape shape;
+  FleetShape shape;
   SimulatedNetwork network;
   std::vector<Member> members;
   std::unordered_map<std::string, std::size_t> byAddress;
   std::vector<std::string> seeds;
   std::set<std::string> services;
   discovery::List list;
-  std::map<std::string, KindLoad> kinds;
-  std::unordered_map<std::string const*, Opened> opened;
-  std::map<std::uint64_t, control::OrderOutcome> answers;
+  std::map<std::string, MessageLoad> kinds;
+  std::unordered_map<std::string const*, DecodedMessage> decodeCache;
+  std::map<std::uint64_t, control::OrderOutcome> orderOutcomes;
   std::uint64_t lastTicket = 0;
-  std::size_t lastNumber = 0;
+  std::size_t lastMemberNumber = 0;
   std::size_t rosterChanges = 0;
   std::optional<std::size_t> cutRegion;
   std::set<std::string> lostZone;
 
-  void makeList();
+  void createServerList();
   void start(std::size_t index);
-  void stop(std::size_t index, bool host);
+  void stop(std::size_t index, bool hostLost);
   void replace(std::size_t index);
   void tick(std::size_t index, std::uint64_t incarnation);
   void send(std::size_t from, std::string const& address, messages::Message message);
   void sendAll(std::size_t from, std::vector<distribution::Outgoing>& sends);
   Bytes encodeEnvelope(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost);
-  std::shared_ptr<messages::PeerMessage const> decodeEnvelope(Bytes const& bytes, std::chrono::nanoseconds& kept);
+  std::shared_ptr<messages::PeerMessage const> decodeEnvelope(Bytes const& bytes, std::chrono::nanoseconds& cachedCost);
   void deliver(std::size_t to, std::size_t from, std::uint64_t incarnation, Bytes const& bytes,
                std::string const& kind);
   void onMessage(std::size_t to, messages::PeerMessage const& received);
-  void follow(std::size_t index, distribution::ConfigDeliveryStep step) { sendAll(index, step.sends); }
-  void follow(std::size_t index, discovery::DirectoryStep step);
+  void applyStep(std::size_t index, distribution::ConfigDeliveryStep step) { sendAll(index, step.sends); }
+  void applyStep(std::size_t index, discovery::DirectoryStep step);
   void step(std::size_t index, replication::GroupEvent const& event);
-  void drivePlane(std::size_t index, control::ConfigServiceEvent const& event);
+  void stepConfigService(std::size_t index, control::ConfigServiceEvent const& event);
   void persist(std::size_t index, replication::Persist const& effect);
   void probe(std::size_t from, control::Probe const& wanted);
   Us delay(std::size_t from, std::size_t to);
@@ -149,16 +149,16 @@
   }
   bool serves(std::size_t index) const;
   std::optional<std::size_t> primary() const;
-  std::optional<std::uint64_t> offerChange();
-  std::string documentOf(std::uint64_t number) const;
-  std::vector<std::string> homes() const;
-  void beginStretch();
-  Stretch endStretch(TimePoint from) const;
-  bool everyoneHas(messages::State const& wanted) const;
-  Ms untilForgotten(std::set<std::string> const& lost, Ms within);
+  std::optional<std::uint64_t> submitChange();
+  std::string configurationDocument(std::uint64_t number) const;
+  std::vector<std::string> homeNodes() const;
+  void beginMeasurement();
+  Measurement endMeasurement(TimePoint from) const;
+  bool allServingNodesHave(messages::State const& wanted) const;
+  Ms awaitRosterRemoval(std::set<std::string> const& lost, Ms timeout);
 };
 
-void Fleet::Impl::makeList() {
+void Fleet::Impl::createServerList() {
   for (std::size_t index = 0; index < shape.shards; ++index) {
     services.insert("p" + std::to_string(index));
   }
@@ -201,7 +201,7 @@
     control::ConfigServiceOptions policy;
     policy.maxNodes = shape.maxNodes == 0 ? policy.maxNodes : shape.maxNodes;
     member.controller->group.emplace(replication::ReplicationOptions{});
-    member.controller->plane.emplace(policy, member.id);
+    member.controller->configService.emplace(policy, member.id);
     step(index,
          replication::Start{
              {member.id, member.address, member.zone}, member.controller->disk, network.random()(), false, seeds});
@@ -210,17 +210,17 @@
   network.after(Us(network.roll(20'000)), [this, index, incarnation] { tick(index, incarnation); });
 }
 
-void Fleet::Impl::stop(std::size_t index, bool host) {
+void Fleet::Impl::stop(std::size_t index, bool hostLost) {
   members[index].up = false;
-  members[index].hostLost = host;
+  members[index].hostLost = hostLost;
   ++members[index].incarnation;
 }
 
 void Fleet::Impl::replace(std::size_t index) {
   Member& member = members[index];
   byAddress.erase(member.address);
-  member.id = nameOf(++lastNumber);
-  member.address = addressOf(lastNumber);
+  member.id = nameOf(++lastMemberNumber);
+  member.address = addressOf(lastMemberNumber);
   byAddress[member.address] = index;
   start(index);
 }
@@ -231,13 +231,13 @@
     return;
   }
   {
-    Meter const meter(member.load.busy);
+    CpuTimer const timer(member.load.busy);
     TimePoint const now = network.now();
     if (member.gateway) {
       std::vector<messages::Peer> const peers = member.views->peers(now);
       std::vector<distribution::Outgoing> shuffles = member.views->tick(now);
       sendAll(index, shuffles);
-      follow(index, member.gateway->delivery->tick(now, peers));
+      applyStep(index, member.gateway->delivery->tick(now, peers));
       discovery::ZoneView zoneView;
       zoneView.services = services;
       zoneView.zoneAddresses.push_back(member.address);
@@ -248,7 +248,7 @@
           }
         }
       }
-      follow(index, member.gateway->directory->tick(now, zoneView));
+      applyStep(index, member.gateway->directory->tick(now, zoneView));
     } else {
       std::vector<distribution::Outgoing> shuffles =
           member.views->tick(now, member.controller->group->decided().epoch == 0);
@@ -262,7 +262,7 @@
       known.mayFound = member.views->mayFound(now);
       step(index, known);
       step(index, replication::Tick{});
-      drivePlane(index, control::Tick{});
+      stepConfigService(index, control::Tick{});
     }
   }
   network.after(tickMs, [this, index, incarnation] { tick(index, incarnation); });
@@ -274,54 +274,54 @@
   }
 }
 
-// A push is the same bytes for every follower: fenced and unsealed once, charged each time.
+// A push has the same bytes for every follower: it is encoded and decoded once and its cost is charged each time.
 Bytes Fleet::Impl::encodeEnvelope(std::size_t from, messages::Message message, std::chrono::nanoseconds& cost) {
   Member& member = members[from];
   messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&message);
   bool const push = response != nullptr && response->token == 0 && response->state && !member.controller;
-  std::pair<std::uint64_t, std::uint64_t> const mark =
+  std::pair<std::uint64_t, std::uint64_t> const version =
       push ? std::pair(response->epoch, response->sequence) : std::pair<std::uint64_t, std::uint64_t>(0, 0);
   std::string const primaryAddress = push ? response->primaryAddress : "";
-  if (push && member.pushed.bytes != nullptr && member.pushed.mark == mark &&
-      member.pushed.primaryAddress == primaryAddress) {
-    cost += member.pushed.cost;
-    member.load.busy += member.pushed.cost;
-    return member.pushed.bytes;
+  if (push && member.lastPush.bytes != nullptr && member.lastPush.version == version &&
+      member.lastPush.primaryAddress == primaryAddress) {
+    cost += member.lastPush.cost;
+    member.load.busy += member.lastPush.cost;
+    return member.lastPush.bytes;
   }
   std::chrono::nanoseconds spent{0};
   Bytes bytes;
   {
-    Meter const meter(spent);
+    CpuTimer const timer(spent);
     std::string const fleet = member.controller ? member.controller->group->decided().fleet : "f";
     bytes = std::make_shared<std::string const>(
         messages::encodeEnvelope({fleet, member.id, member.address, std::move(message)}));
   }
   cost += spent;
   if (push) {
-    member.pushed = {mark, primaryAddress, bytes, spent};
+    member.lastPush = {version, primaryAddress, bytes, spent};
   }
   return bytes;
 }
 
 std::shared_ptr<messages::PeerMessage const> Fleet::Impl::decodeEnvelope(Bytes const& bytes,
-                                                                         std::chrono::nanoseconds& kept) {
-  std::unordered_map<std::string const*, Opened>::const_iterator const found = opened.find(bytes.get());
-  if (found != opened.end()) {
-    kept += found->second.cost;
+                                                                         std::chrono::nanoseconds& cachedCost) {
+  std::unordered_map<std::string const*, DecodedMessage>::const_iterator const found = decodeCache.find(bytes.get());
+  if (found != decodeCache.end()) {
+    cachedCost += found->second.cost;
     return found->second.received;
   }
   std::chrono::nanoseconds spent{0};
   std::shared_ptr<messages::PeerMessage const> received;
   {
-    Meter const meter(spent);
+    CpuTimer const timer(spent);
     absl::StatusOr<messages::PeerMessage> read = messages::decodeEnvelope(*bytes);
     received = read.ok() ? std::make_shared<messages::PeerMessage const>(*std::move(read)) : nullptr;
   }
-  if (bytes->size() > worthKeeping) {
-    if (opened.size() >= maxOpened) {
-      opened.clear();
+  if (bytes->size() > minCachedBytes) {
+    if (decodeCache.size() >= maxCachedMessages) {
+      decodeCache.clear();
     }
-    opened.emplace(bytes.get(), Opened{bytes, received, spent});
+    decodeCache.emplace(bytes.get(), DecodedMessage{bytes, received, spent});
   }
   return received;
 }
@@ -329,8 +329,8 @@
 void Fleet::Impl::send(std::size_t from, std::string const& address, messages::Message message) {
   Member& member = members[from];
   std::string const kind = std::visit([](auto const& concrete) { return std::string(concrete.name); }, message);
-  KindLoad& load = kinds[kind];
-  Bytes const bytes = encodeEnvelope(from, std::move(message), load.sealing);
+  MessageLoad& load = kinds[kind];
+  Bytes const bytes = encodeEnvelope(from, std::move(message), load.encodeTime);
   ++load.sent;
   load.bytes += bytes->size();
   ++member.load.sent;
@@ -340,7 +340,7 @@
     return;
   }
   std::size_t const to = found->second;
-  member.talkedTo.insert(to);
+  member.sentTo.insert(to);
   if (!members[to].up || isCut(from, to)) {
     return;
   }
@@ -357,21 +357,21 @@
   }
   ++member.load.received;
   member.load.receivedBytes += bytes->size();
-  member.heardFrom.insert(from);
+  member.receivedFrom.insert(from);
   std::chrono::nanoseconds spent{0};
-  std::chrono::nanoseconds kept{0};
+  std::chrono::nanoseconds cachedCost{0};
   {
-    Meter const meter(spent);
-    std::shared_ptr<messages::PeerMessage const> const received = decodeEnvelope(bytes, kept);
+    CpuTimer const timer(spent);
+    std::shared_ptr<messages::PeerMessage const> const received = decodeEnvelope(bytes, cachedCost);
     if (received != nullptr) {
       onMessage(to, *received);
     }
   }
-  spent += kept;
+  spent += cachedCost;
   member.load.busy += spent;
-  KindLoad& load = kinds[kind];
-  ++load.heard;
-  load.hearing += spent;
+  MessageLoad& load = kinds[kind];
+  ++load.received;
+  load.handleTime += spent;
 }
 
 void Fleet::Impl::onMessage(std::size_t to, messages::PeerMessage const& received) {
@@ -382,33 +382,33 @@
     sendAll(to, sends);
   } else if (member.controller) {
     if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received.message)) {
-      drivePlane(to, control::StateRequestReceived{received.address, *poll});
+      stepConfigService(to, control::StateRequestReceived{received.address, *poll});
     } else if (!std::holds_alternative<messages::StateResponse>(received.message)) {
       step(to, replication::MessageReceived{received.from, received.address, received.message});
     }
   } else if (messages::StateRequest const* const poll = std::get_if<messages::StateRequest>(&received.message)) {
-    follow(to, member.gateway->delivery->onMessage(now, received.address, *poll));
+    applyStep(to, member.gateway->delivery->onMessage(now, received.address, *poll));
   } else if (messages::StateResponse const* const response = std::get_if<messages::StateResponse>(&received.message)) {
-    follow(to, member.gateway->delivery->onMessage(now, received.address, *response));
+    applyStep(to, member.gateway->delivery->onMessage(now, received.address, *response));
   } else if (messages::StateUpdate const* const update = std::get_if<messages::StateUpdate>(&received.message)) {
-    follow(to, member.gateway->delivery->onMessage(now, received.address, *update));
+    applyStep(to, member.gateway->delivery->onMessage(now, received.address, *update));
   } else if (messages::TableRequest const* const tablePoll = std::get_if<messages::TableRequest>(&received.message)) {
-    follow(to, member.gateway->directory->onMessage(now, received.address, *tablePoll));
+    applyStep(to, member.gateway->directory->onMessage(now, received.address, *tablePoll));
   } else if (messages::TableResponse const* const tableResponse =
                  std::get_if<messages::TableResponse>(&received.message)) {
-    follow(to, member.gateway->directory->onMessage(now, received.address, *tableResponse));
+    applyStep(to, member.gateway->directory->onMessage(now, received.address, *tableResponse));
   }
 }
 
-void Fleet::Impl::follow(std::size_t index, discovery::DirectoryStep step) {
+void Fleet::Impl::applyStep(std::size_t index, discovery::DirectoryStep step) {
   sendAll(index, step.sends);
   if (step.readList) {
     ++members[index].load.listReads;
     std::uint64_t const incarnation = members[index].incarnation;
     network.after(Us(3'000 + network.roll(5'000)), [this, index, incarnation] {
       if (members[index].up && members[index].incarnation == incarnation) {
-        Meter const meter(members[index].load.busy);
-        follow(index, members[index].gateway->directory->onListPage(network.now(), list));
+        CpuTimer const timer(members[index].load.busy);
+        applyStep(index, members[index].gateway->directory->onListPage(network.now(), list));
       }
     });
   }
@@ -423,7 +423,7 @@
     for (std::pair<std::string, std::string> const& put : effect.puts) {
       members[index].controller->disk[put.first] = put.second;
     }
-    Meter const meter(members[index].load.busy);
+    CpuTimer const timer(members[index].load.busy);
     step(index, replication::PersistFinished{effect.token, true});
   });
 }
@@ -435,33 +435,35 @@
     } else if (replication::Persist const* const wanted = std::get_if<replication::Persist>(&effect)) {
       persist(index, *wanted);
     } else if (replication::Committed const* const committed = std::get_if<replication::Committed>(&effect)) {
-      drivePlane(index, *committed);
+      stepConfigService(index, *committed);
     } else if (replication::OutcomeUnknown const* const outcomeUnknown =
                    std::get_if<replication::OutcomeUnknown>(&effect)) {
-      drivePlane(index, *outcomeUnknown);
+      stepConfigService(index, *outcomeUnknown);
     } else if (replication::BecamePrimary const* const active = std::get_if<replication::BecamePrimary>(&effect)) {
-      drivePlane(index, *active);
+      stepConfigService(index, *active);
     } else if (std::holds_alternative<replication::SteppedDown>(effect)) {
-      drivePlane(index, replication::SteppedDown{});
+      stepConfigService(index, replication::SteppedDown{});
     }
   }
 }
 
-void Fleet::Impl::drivePlane(std::size_t index, control::ConfigServiceEvent const& event) {
+void Fleet::Impl::stepConfigService(std::size_t index, control::ConfigServiceEvent const& event) {
   SimulatedController& controller = *members[index].controller;
-  for (control::ConfigServiceEffect const& effect : controller.plane->step(network.now(), *controller.group, event)) {
-    if (replication::Proposal const* const offer = std::get_if<replication::Proposal>(&effect)) {
-      rosterChanges +=
-          offer->ticket >= 1ULL << 60 && offer->state.rosterSequence != controller.plane->published().rosterSequence
-              ? 1
-              : 0;
-      step(index, *offer);
+  for (control::ConfigServiceEffect const& effect :
+       controller.configService->step(network.now(), *controller.group, event)) {
+    if (replication::Proposal const* const proposal = std::get_if<replication::Proposal>(&effect)) {
+      rosterChanges += proposal->ticket >= 1ULL << 60 &&
+                               proposal->state.rosterSequence != controller.configService->published().rosterSequence
+                           ? 1
+                           : 0;
+      step(index, *proposal);
     } else if (control::OrderOutcome const* const decided = std::get_if<control::OrderOutcome>(&effect)) {
-      answers[decided->ticket] = *decided;
+      orderOutcomes[decided->ticket] = *decided;
     } else if (distribution::Outgoing const* const outgoing = std::get_if<distribution::Outgoing>(&effect)) {
       send(index, outgoing->address, outgoing->message);
     } else if (control::EvaluateOrder const* const order = std::get_if<control::EvaluateOrder>(&effect)) {
-      drivePlane(index, control::OrderEvaluated{order->token, controller.plane->evaluator().evaluate(*order)});
+      stepConfigService(index,
+                        control::OrderEvaluated{order->token, controller.configService->evaluator().evaluate(*order)});
     } else if (control::Probe const* const wanted = std::get_if<control::Probe>(&effect)) {
       probe(index, *wanted);
     }
@@ -469,7 +471,7 @@
 }
 
 void Fleet::Impl::probe(std::size_t from, control::Probe const& wanted) {
-  KindLoad& load = kinds["probe"];
+  MessageLoad& load = kinds["probe"];
   ++load.sent;
   std::unordered_map<std::string, std::size_t>::const_iterator const found = byAddress.find(wanted.address);
   std::uint64_t const incarnation = members[from].incarnation;
@@ -486,8 +488,8 @@
     bool const gone = !members[to].up || members[to].id != node;
     network.after(delay(to, from), [this, from, incarnation, token, gone] {
       if (members[from].up && members[from].incarnation == incarnation) {
-        Meter const meter(members[from].load.busy);
-        drivePlane(from, control::ProbeFinished{token, gone});
+        CpuTimer const timer(members[from].load.busy);
+        stepConfigService(from, control::ProbeFinished{token, gone});
       }
     });
   });
@@ -505,14 +507,14 @@
 std::optional<std::size_t> Fleet::Impl::primary() const {
   for (std::size_t index = 0; index < shape.controllers; ++index) {
     Member const& member = members[index];
-    if (member.up && member.controller->plane->active() && member.controller->group->active()) {
+    if (member.up && member.controller->configService->active() && member.controller->group->active()) {
       return index;
     }
   }
   return std::nullopt;
 }
 
-std::string Fleet::Impl::documentOf(std::uint64_t number) const {
+std::string Fleet::Impl::configurationDocument(std::uint64_t number) const {
   std::string out = "{\"services\":{\"a\":{\"capacity\":" + std::to_string(number % 1000 + 1) + "}";
   std::size_t const wanted = shape.documentBytes == 0 ? 200 : shape.documentBytes;
   for (std::size_t index = 0; out.size() + 2 < wanted; ++index) {
@@ -521,19 +523,19 @@
   return out + "}}";
 }
 
-std::optional<std::uint64_t> Fleet::Impl::offerChange() {
+std::optional<std::uint64_t> Fleet::Impl::submitChange() {
   std::optional<std::size_t> const index = primary();
   if (!index) {
     return std::nullopt;
   }
   std::uint64_t const ticket = ++lastTicket;
-  Meter const meter(members[*index].load.busy);
-  drivePlane(*index, control::Change{ticket, "c" + std::to_string(ticket), std::nullopt, false, documentOf(ticket),
-                                     network.now() + Ms(10'000)});
+  CpuTimer const timer(members[*index].load.busy);
+  stepConfigService(*index, control::Change{ticket, "c" + std::to_string(ticket), std::nullopt, false,
+                                            configurationDocument(ticket), network.now() + Ms(10'000)});
   return ticket;
 }
 
-std::vector<std::string> Fleet::Impl::homes() const {
+std::vector<std::string> Fleet::Impl::homeNodes() const {
   std::map<std::string, std::vector<std::string>> zones;
   for (Member const& member : members) {
     if (member.up && member.gateway) {
@@ -548,43 +550,43 @@
   return out;
 }
 
-void Fleet::Impl::beginStretch() {
+void Fleet::Impl::beginMeasurement() {
   kinds.clear();
   rosterChanges = 0;
   for (Member& member : members) {
     member.load = {};
-    member.talkedTo.clear();
-    member.heardFrom.clear();
+    member.sentTo.clear();
+    member.receivedFrom.clear();
   }
 }
 
-Stretch Fleet::Impl::endStretch(TimePoint from) const {
-  Stretch out;
+Measurement Fleet::Impl::endMeasurement(TimePoint from) const {
+  Measurement out;
   out.seconds = std::chrono::duration<double>(network.now() - from).count();
   out.kinds = kinds;
   out.rosterChanges = rosterChanges;
-  std::vector<std::string> const homeIds = homes();
-  std::optional<std::size_t> const first = primary();
+  std::vector<std::string> const homeIds = homeNodes();
+  std::optional<std::size_t> const primaryIndex = primary();
   for (std::size_t index = 0; index < members.size(); ++index) {
     Member const& member = members[index];
     if (!member.up) {
       continue;
     }
-    Load load = member.load;
-    load.peers = member.talkedTo.size() + member.heardFrom.size();
+    MemberLoad load = member.load;
+    load.peers = member.sentTo.size() + member.receivedFrom.size();
     load.role = std::count(homeIds.begin(), homeIds.end(), member.id) > 0 ? "home" : "front";
-    if (member.controller && first) {
-      messages::EpochRecord const& decided = members[*first].controller->group->decided();
+    if (member.controller && primaryIndex) {
+      messages::EpochRecord const& decided = members[*primaryIndex].controller->group->decided();
       bool const backup = std::count(decided.backups.begin(), decided.backups.end(), member.id) > 0;
       bool const witness = std::count(decided.witnesses.begin(), decided.witnesses.end(), member.id) > 0;
-      load.role = index == *first ? "primary" : backup ? "backup" : witness ? "witness" : "spare";
+      load.role = index == *primaryIndex ? "primary" : backup ? "backup" : witness ? "witness" : "spare";
     }
     out.members.push_back(std::move(load));
   }
   return out;
 }
 
-bool Fleet::Impl::everyoneHas(messages::State const& wanted) const {
+bool Fleet::Impl::allServingNodesHave(messages::State const& wanted) const {
   for (std::size_t index = 0; index < members.size(); ++index) {
     Member const& member = members[index];
     if (!member.up || !member.gateway || !member.gateway->delivery->state()) {
@@ -598,30 +600,31 @@
   return true;
 }
 
-Ms Fleet::Impl::untilForgotten(std::set<std::string> const& lost, Ms within) {
+Ms Fleet::Impl::awaitRosterRemoval(std::set<std::string> const& lost, Ms timeout) {
   TimePoint const from = network.now();
-  std::optional<messages::State> mark;
-  while (network.now() - from < within) {
+  std::optional<messages::State> stateAfterRemoval;
+  while (network.now() - from < timeout) {
     network.runUntil(network.now() + Ms(20));
     std::optional<std::size_t> const index = primary();
-    if (!mark && index) {
-      messages::State const& state = members[*index].controller->plane->published();
-      bool const listed = std::any_of(state.roster.begin(), state.roster.end(),
-                                      [&](messages::RosterEntry const& entry) { return lost.contains(entry.node); });
-      if (!listed) {
-        mark = state;
+    if (!stateAfterRemoval && index) {
+      messages::State const& state = members[*index].controller->configService->published();
+      bool const rosterSize =
+          std::any_of(state.roster.begin(), state.roster.end(),
+                      [&](messages::RosterEntry const& entry) { return lost.contains(entry.node); });
+      if (!rosterSize) {
+        stateAfterRemoval = state;
       }
     }
-    if (mark && everyoneHas(*mark)) {
+    if (stateAfterRemoval && allServingNodesHave(*stateAfterRemoval)) {
       return std::chrono::duration_cast<Ms>(network.now() - from);
     }
   }
   return Ms(-1);
 }
 
-Fleet::Fleet(Shape const& shape) : impl_(std::make_unique<Impl>(shape)) {
+Fleet::Fleet(FleetShape const& shape) : impl_(std::make_unique<Impl>(shape)) {
   Impl& impl = *impl_;
-  impl.makeList();
+  impl.createServerList();
   for (std::size_t index = 0; index < shape.controllers + shape.nodes; ++index) {
     Member member;
     bool const controller = index < shape.controllers;
@@ -642,18 +645,19 @@
     }
     impl.members.push_back(std::move(member));
   }
-  impl.lastNumber = shape.controllers + shape.nodes;
+  impl.lastMemberNumber = shape.controllers + shape.nodes;
 }
 
 Fleet::~Fleet() = default;
 
-void Fleet::startAll(Ms wait, Ms over) {
+void Fleet::startAll(Ms gatewayDelay, Ms spread) {
   for (std::size_t index = 0; index < impl_->members.size(); ++index) {
     if (index < impl_->shape.controllers) {
       impl_->start(index);
     } else {
-      impl_->network.after(wait + Us(impl_->network.roll(static_cast<std::uint64_t>(over.count()) * 1000 + 1)),
-                           [this, index] { impl_->start(index); });
+      impl_->network.after(
+          gatewayDelay + Us(impl_->network.roll(static_cast<std::uint64_t>(spread.count()) * 1000 + 1)),
+          [this, index] { impl_->start(index); });
     }
   }
 }
@@ -673,67 +677,67 @@
                                                 [](Member const& member) { return member.up && member.gateway; }));
 }
 
-std::size_t Fleet::listed() const {
+std::size_t Fleet::rosterSize() const {
   std::optional<std::size_t> const index = impl_->primary();
-  return index ? impl_->members[*index].controller->plane->published().roster.size() : 0;
+  return index ? impl_->members[*index].controller->configService->published().roster.size() : 0;
 }
 
 std::size_t Fleet::stateBytes() const {
   std::optional<std::size_t> const index = impl_->primary();
-  return index ? messages::pack(impl_->members[*index].controller->plane->published()).size() : 0;
+  return index ? messages::pack(impl_->members[*index].controller->configService->published()).size() : 0;
 }
 
-bool Fleet::awaitServing(std::size_t wanted, Ms within) {
-  TimePoint const end = impl_->network.now() + within;
+bool Fleet::awaitServing(std::size_t wanted, Ms timeout) {
+  TimePoint const end = impl_->network.now() + timeout;
   while (impl_->network.now() < end && serving() < wanted) {
     run(Ms(100));
   }
   return serving() >= wanted;
 }
 
-Stretch Fleet::measure(Ms time) { return churn(time, {}); }
+Measurement Fleet::measure(Ms time) { return churn(time, {}); }
 
-Stretch Fleet::churn(Ms time, Churn const& rates) {
+Measurement Fleet::churn(Ms time, ChurnRates const& rates) {
   Impl& impl = *impl_;
-  impl.beginStretch();
+  impl.beginMeasurement();
   TimePoint const from = impl.network.now();
-  Stretch counts;
+  Measurement counts;
   counts.minServing = serving();
   std::size_t rounds = 0;
   std::vector<std::uint64_t> tickets;
-  std::function<std::size_t()> const someNode = [&] {
+  std::function<std::size_t()> const randomRunningNode = [&] {
     std::size_t index = impl.shape.controllers + impl.network.roll(impl.shape.nodes);
     while (!impl.members[index].up) {
       index = impl.shape.controllers + impl.network.roll(impl.shape.nodes);
     }
     return index;
   };
-  std::function<void(double, std::size_t&, std::function<void()> const&)> const maybe =
-      [&](double perSecond, std::size_t& count, std::function<void()> const& work) {
+  std::function<void(double, std::size_t&, std::function<void()> const&)> const runAtRate =
+      [&](double perSecond, std::size_t& count, std::function<void()> const& action) {
         if (impl.network.chance(perSecond * 0.02)) {
           ++count;
-          work();
+          action();
         }
       };
   while (impl.network.now() - from < time) {
-    maybe(rates.restartsPerSecond, counts.restarts, [&] {
-      std::size_t const index = someNode();
+    runAtRate(rates.restartsPerSecond, counts.restarts, [&] {
+      std::size_t const index = randomRunningNode();
       std::uint64_t const incarnation = impl.members[index].incarnation;
       impl.members[index].gateway->delivery->beginShutdown();
-      impl.network.after(noticeMs, [&impl, index, incarnation] {
+      impl.network.after(shutdownNoticeMs, [&impl, index, incarnation] {
         if (impl.members[index].incarnation == incarnation) {
           impl.stop(index, false);
-          impl.network.after(downMs, [&impl, index] { impl.start(index); });
+          impl.network.after(restartDowntimeMs, [&impl, index] { impl.start(index); });
         }
       });
     });
-    maybe(rates.failuresPerSecond, counts.failures, [&] {
-      std::size_t const index = someNode();
+    runAtRate(rates.failuresPerSecond, counts.failures, [&] {
+      std::size_t const index = randomRunningNode();
       impl.stop(index, true);
-      impl.network.after(replacedAfterMs, [&impl, index] { impl.replace(index); });
+      impl.network.after(replacementDelayMs, [&impl, index] { impl.replace(index); });
     });
-    maybe(rates.changesPerSecond, counts.changes, [&] {
-      if (std::optional<std::uint64_t> const ticket = impl.offerChange()) {
+    runAtRate(rates.changesPerSecond, counts.changes, [&] {
+      if (std::optional<std::uint64_t> const ticket = impl.submitChange()) {
         tickets.push_back(*ticket);
       }
     });
@@ -742,75 +746,76 @@
       counts.minServing = std::min(counts.minServing, serving());
     }
   }
-  Stretch out = impl.endStretch(from);
+  Measurement out = impl.endMeasurement(from);
   out.restarts = counts.restarts;
   out.failures = counts.failures;
   out.changes = counts.changes;
   out.minServing = counts.minServing;
   for (std::uint64_t const ticket : tickets) {
     out.taken +=
-        impl.answers.contains(ticket) && impl.answers.at(ticket).verdict == control::OrderStatus::taken ? 1 : 0;
+        impl.orderOutcomes.contains(ticket) && impl.orderOutcomes.at(ticket).verdict == control::OrderStatus::taken ? 1
+                                                                                                                    : 0;
   }
   return out;
 }
 
-Landing Fleet::change(Ms within) {
+ChangeOutcome Fleet::change(Ms timeout) {
   Impl& impl = *impl_;
-  Landing out;
+  ChangeOutcome out;
   TimePoint const from = impl.network.now();
-  std::optional<std::uint64_t> const ticket = impl.offerChange();
+  std::optional<std::uint64_t> const ticket = impl.submitChange();
   out.verdict = ticket ? "unknown" : "not_run";
   std::optional<messages::State> published;
-  while (ticket && impl.network.now() - from < within && (out.everywhereMs < Ms(0) || out.acknowledgedMs < Ms(0))) {
+  while (ticket && impl.network.now() - from < timeout && (out.everywhereMs < Ms(0) || out.acknowledgedMs < Ms(0))) {
     run(Ms(5));
     Ms const passed = std::chrono::duration_cast<Ms>(impl.network.now() - from);
     std::optional<std::size_t> const index = impl.primary();
     if (!published && index) {
-      messages::State const& state = impl.members[*index].controller->plane->published();
-      control::Change offered;
-      offered.id = "c" + std::to_string(*ticket);
-      if (control::findReceipt(state, offered).match != control::ReceiptMatch::none) {
+      messages::State const& state = impl.members[*index].controller->configService->published();
+      control::Change submitted;
+      submitted.id = "c" + std::to_string(*ticket);
+      if (control::findReceipt(state, submitted).match != control::ReceiptMatch::none) {
         published = state;
       }
     }
-    if (out.acknowledgedMs < Ms(0) && impl.answers.contains(*ticket)) {
-      out.verdict = impl.answers.at(*ticket).verdict == control::OrderStatus::taken ? "taken" : "other";
+    if (out.acknowledgedMs < Ms(0) && impl.orderOutcomes.contains(*ticket)) {
+      out.verdict = impl.orderOutcomes.at(*ticket).verdict == control::OrderStatus::taken ? "taken" : "other";
       out.acknowledgedMs = passed;
     }
-    if (out.everywhereMs < Ms(0) && published && impl.everyoneHas(*published)) {
+    if (out.everywhereMs < Ms(0) && published && impl.allServingNodesHave(*published)) {
       out.everywhereMs = passed;
     }
   }
   return out;
 }
 
-Ms Fleet::killNode(Ms within) {
+Ms Fleet::killNode(Ms timeout) {
   std::size_t const index = impl_->shape.controllers + impl_->network.roll(impl_->shape.nodes);
   std::string const id = impl_->members[index].id;
   impl_->stop(index, false);
-  Ms const out = impl_->untilForgotten({id}, within);
+  Ms const out = impl_->awaitRosterRemoval({id}, timeout);
   impl_->start(index);
   return out;
 }
 
-Ms Fleet::loseNode(Ms within) {
+Ms Fleet::loseHost(Ms timeout) {
   std::size_t const index = impl_->shape.controllers + impl_->network.roll(impl_->shape.nodes);
   std::string const id = impl_->members[index].id;
   impl_->stop(index, true);
-  Ms const out = impl_->untilForgotten({id}, within);
+  Ms const out = impl_->awaitRosterRemoval({id}, timeout);
   impl_->replace(index);
   return out;
 }
 
 void Fleet::loseZone() {
-  std::optional<std::size_t> const first = impl_->primary();
+  std::optional<std::size_t> const primaryIndex = impl_->primary();
   std::string zone;
   for (Member const& member : impl_->members) {
     bool const controllers = std::any_of(impl_->members.begin(), impl_->members.end(), [&](Member const& other) {
       return other.controller && other.zone == member.zone;
     });
-    zone = member.gateway && (!controllers || impl_->shape.zones <= impl_->shape.controllers) && first &&
-                   member.zone != impl_->members[*first].zone
+    zone = member.gateway && (!controllers || impl_->shape.zones <= impl_->shape.controllers) && primaryIndex &&
+                   member.zone != impl_->members[*primaryIndex].zone
                ? member.zone
                : zone;
   }
@@ -822,11 +827,11 @@
   }
 }
 
-Ms Fleet::untilZoneForgotten(Ms within) { return impl_->untilForgotten(impl_->lostZone, within); }
+Ms Fleet::awaitZoneRemoval(Ms timeout) { return impl_->awaitRosterRemoval(impl_->lostZone, timeout); }
 
 void Fleet::cutRegion(bool cut) {
-  std::optional<std::size_t> const first = impl_->primary();
-  std::size_t const region = first ? impl_->members[*first].region : 0;
+  std::optional<std::size_t> const primaryIndex = impl_->primary();
+  std::size_t const region = primaryIndex ? impl_->members[*primaryIndex].region : 0;
   impl_->cutRegion = cut ? std::optional<std::size_t>((region + 1) % impl_->shape.regions) : std::nullopt;
 }
 
--- a/test_support/capacity/fleet.h
+++ b/test_support/capacity/fleet.h
@@ -11,7 +11,8 @@
 
 using Ms = std::chrono::milliseconds;
 
-struct Shape {
+/// Sizes of a simulated fleet; `nodes` are gateways, and 0 in `maxNodes` or `documentBytes` stands for the default.
+struct FleetShape {
   std::size_t nodes = 100;
   std::size_t controllers = 5;
   std::size_t servers = 500;
@@ -23,7 +24,9 @@
   std::uint64_t seed = 1;
 };
 
-struct Load {
+/// Traffic and CPU time of one member during a measurement; `peers` counts the members it sent to plus those it
+/// received from.
+struct MemberLoad {
   std::string role;
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
@@ -34,18 +37,20 @@
   std::chrono::nanoseconds busy{0};
 };
 
-struct KindLoad {
+/// Traffic of one kind of message and the CPU time spent to encode and to handle it.
+struct MessageLoad {
   std::uint64_t sent = 0;
   std::uint64_t bytes = 0;
-  std::uint64_t heard = 0;
-  std::chrono::nanoseconds sealing{0};
-  std::chrono::nanoseconds hearing{0};
+  std::uint64_t received = 0;
+  std::chrono::nanoseconds encodeTime{0};
+  std::chrono::nanoseconds handleTime{0};
 };
 
-struct Stretch {
+/// Loads and events of an interval of virtual time; `taken` counts the changes that were accepted.
+struct Measurement {
   double seconds = 0;
-  std::vector<Load> members;
-  std::map<std::string, KindLoad> kinds;
+  std::vector<MemberLoad> members;
+  std::map<std::string, MessageLoad> kinds;
   std::size_t restarts = 0;
   std::size_t failures = 0;
   std::size_t changes = 0;
@@ -54,40 +59,47 @@
   std::size_t minServing = 0;
 };
 
-struct Landing {
+/// Result of a configuration change, with the time to its acknowledgement and to its arrival at every serving gateway;
+/// -1 ms if that did not happen before the timeout.
+struct ChangeOutcome {
   std::string verdict;
   Ms acknowledgedMs{-1};
   Ms everywhereMs{-1};
 };
 
-struct Churn {
+struct ChurnRates {
   double restartsPerSecond = 0;
   double failuresPerSecond = 0;
   double changesPerSecond = 0;
 };
 
+/// Gateways and controllers on a simulated network in virtual time; CPU time is measured on the calling thread.
 class Fleet {
  public:
-  explicit Fleet(Shape const& shape);
+  explicit Fleet(FleetShape const& shape);
   ~Fleet();
   Fleet(Fleet const&) = delete;
   Fleet& operator=(Fleet const&) = delete;
 
-  void startAll(Ms wait, Ms over);
+  /// Starts the controllers at once and each gateway `gatewayDelay` later plus a random part of `spread`.
+  void startAll(Ms gatewayDelay, Ms spread);
   void run(Ms time);
-  bool awaitServing(std::size_t wanted, Ms within);
+  bool awaitServing(std::size_t wanted, Ms timeout);
   std::size_t serving() const;
   std::size_t alive() const;
-  std::size_t listed() const;
+  std::size_t rosterSize() const;
   std::size_t stateBytes() const;
 
-  Stretch measure(Ms time);
-  Stretch churn(Ms time, Churn const& churn);
-  Landing change(Ms within);
-  Ms killNode(Ms within);
-  Ms loseNode(Ms within);
+  Measurement measure(Ms time);
+  Measurement churn(Ms time, ChurnRates const& rates);
+  ChangeOutcome change(Ms timeout);
+  /// Ends the process of a random gateway and restarts it after every serving gateway has a roster without it; returns
+  /// the time that this took, or -1 ms after the timeout.
+  Ms killNode(Ms timeout);
+  /// Like killNode, but the whole host is lost: probes of it stay unanswered and a new node replaces it.
+  Ms loseHost(Ms timeout);
   void loseZone();
-  Ms untilZoneForgotten(Ms within);
+  Ms awaitZoneRemoval(Ms timeout);
   void cutRegion(bool cut);
   std::size_t servingInCutRegion() const;
   void killPrimary();
--- a/test_support/capacity/scale_simulation.cpp
+++ b/test_support/capacity/scale_simulation.cpp
@@ -29,64 +29,70 @@
   return {values.front(), values[values.size() / 2], values.back()};
 }
 
-std::string number(double value) {
+std::string formatNumber(double value) {
   char text[40];
   std::snprintf(text, sizeof text, "%.6g", value);
   return text;
 }
 
 std::string json(Spread const& spread) {
-  return "{\"least\":" + number(spread.least) + ",\"median\":" + number(spread.median) +
-         ",\"most\":" + number(spread.most) + "}";
+  return "{\"least\":" + formatNumber(spread.least) + ",\"median\":" + formatNumber(spread.median) +
+         ",\"most\":" + formatNumber(spread.most) + "}";
 }
 
-std::string json(Stretch const& stretch) {
-  std::map<std::string, std::vector<Load>> roles;
+std::string json(Measurement const& measurement) {
+  std::map<std::string, std::vector<MemberLoad>> roles;
   std::size_t readers = 0;
   double listReads = 0;
-  for (Load const& load : stretch.members) {
+  for (MemberLoad const& load : measurement.members) {
     roles[load.role].push_back(load);
     readers += load.listReads > 0 ? 1 : 0;
     listReads += static_cast<double>(load.listReads);
   }
   std::ostringstream out;
-  out << "{\"seconds\":" << number(stretch.seconds) << ",\"restarts\":" << stretch.restarts
-      << ",\"failures\":" << stretch.failures << ",\"changes\":" << stretch.changes << ",\"taken\":" << stretch.taken
-      << ",\"roster_changes\":" << stretch.rosterChanges << ",\"least_serving\":" << stretch.minServing
-      << ",\"list_readers\":" << readers << ",\"list_reads_per_s\":" << number(listReads / stretch.seconds)
-      << ",\"roles\":{";
+  out << "{\"seconds\":" << formatNumber(measurement.seconds) << ",\"restarts\":" << measurement.restarts
+      << ",\"failures\":" << measurement.failures << ",\"changes\":" << measurement.changes
+      << ",\"taken\":" << measurement.taken << ",\"roster_changes\":" << measurement.rosterChanges
+      << ",\"least_serving\":" << measurement.minServing << ",\"list_readers\":" << readers
+      << ",\"list_reads_per_s\":" << formatNumber(listReads / measurement.seconds) << ",\"roles\":{";
   bool first = true;
-  for (std::pair<std::string const, std::vector<Load>> const& role : roles) {
-    std::function<Spread(std::function<double(Load const&)> const&)> const of =
-        [&](std::function<double(Load const&)> const& pick) {
+  for (std::pair<std::string const, std::vector<MemberLoad>> const& role : roles) {
+    std::function<Spread(std::function<double(MemberLoad const&)> const&)> const perSecond =
+        [&](std::function<double(MemberLoad const&)> const& pick) {
           std::vector<double> values;
-          for (Load const& load : role.second) {
-            values.push_back(pick(load) / stretch.seconds);
+          for (MemberLoad const& load : role.second) {
+            values.push_back(pick(load) / measurement.seconds);
           }
           return spreadOf(std::move(values));
         };
     out << (first ? "" : ",") << "\"" << role.first << "\":{\"count\":" << role.second.size()
-        << ",\"sent_per_s\":" << json(of([](Load const& load) { return static_cast<double>(load.sent); }))
-        << ",\"received_per_s\":" << json(of([](Load const& load) { return static_cast<double>(load.received); }))
-        << ",\"sent_bytes_per_s\":" << json(of([](Load const& load) { return static_cast<double>(load.sentBytes); }))
+        << ",\"sent_per_s\":" << json(perSecond([](MemberLoad const& load) { return static_cast<double>(load.sent); }))
+        << ",\"received_per_s\":"
+        << json(perSecond([](MemberLoad const& load) { return static_cast<double>(load.received); }))
+        << ",\"sent_bytes_per_s\":"
+        << json(perSecond([](MemberLoad const& load) { return static_cast<double>(load.sentBytes); }))
         << ",\"received_bytes_per_s\":"
-        << json(of([](Load const& load) { return static_cast<double>(load.receivedBytes); })) << ",\"processor_share\":"
-        << json(of([](Load const& load) { return std::chrono::duration<double>(load.busy).count(); })) << ",\"peers\":"
-        << json(of([&](Load const& load) { return static_cast<double>(load.peers) * stretch.seconds; })) << "}";
+        << json(perSecond([](MemberLoad const& load) { return static_cast<double>(load.receivedBytes); }))
+        << ",\"processor_share\":"
+        << json(perSecond([](MemberLoad const& load) { return std::chrono::duration<double>(load.busy).count(); }))
+        << ",\"peers\":" << json(perSecond([&](MemberLoad const& load) {
+             return static_cast<double>(load.peers) * measurement.seconds;
+           }))
+        << "}";
     first = false;
   }
   out << "},\"kinds\":{";
   first = true;
-  for (std::pair<std::string const, KindLoad> const& kind : stretch.kinds) {
-    KindLoad const& load = kind.second;
+  for (std::pair<std::string const, MessageLoad> const& kind : measurement.kinds) {
+    MessageLoad const& load = kind.second;
     double const sent = static_cast<double>(std::max<std::uint64_t>(1, load.sent));
-    double const heard = static_cast<double>(std::max<std::uint64_t>(1, load.heard));
+    double const received = static_cast<double>(std::max<std::uint64_t>(1, load.received));
     out << (first ? "" : ",") << "\"" << kind.first
-        << "\":{\"sent_per_s\":" << number(static_cast<double>(load.sent) / stretch.seconds)
-        << ",\"bytes_per_s\":" << number(static_cast<double>(load.bytes) / stretch.seconds)
-        << ",\"bytes_each\":" << number(static_cast<double>(load.bytes) / sent)
-        << ",\"seal_us_each\":" << number(static_cast<double>(load.sealing.count()) / 1e3 / sent)
-        << ",\"hear_us_each\":" << number(static_cast<double>(load.hearing.count()) / 1e3 / heard) << "}";
+        << "\":{\"sent_per_s\":" << formatNumber(static_cast<double>(load.sent) / measurement.seconds)
+        << ",\"bytes_per_s\":" << formatNumber(static_cast<double>(load.bytes) / measurement.seconds)
+        << ",\"bytes_each\":" << formatNumber(static_cast<double>(load.bytes) / sent)
+        << ",\"seal_us_each\":" << formatNumber(static_cast<double>(load.encodeTime.count()) / 1e3 / sent)
+        << ",\"hear_us_each\":" << formatNumber(static_cast<double>(load.handleTime.count()) / 1e3 / received) << "}";
     first = false;
   }
   out << "}}";
@@ -98,7 +104,7 @@
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-std::set<std::string> wordsOf(std::string const& text) {
+std::set<std::string> splitAtCommas(std::string const& text) {
   std::set<std::string> out;
   std::istringstream words(text);
   for (std::string word; std::getline(words, word, ',');) {
@@ -109,81 +115,84 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-  cxxopts::Options options("scale_simulation", "hollow nodes in virtual time: what control costs at a size");
+int main(int argc, char** argv) {
+  cxxopts::Options options("scale_simulation",
+                           "simulates nodes in virtual time and measures what the control plane costs at a fleet size");
   options.add_options()("nodes", "", cxxopts::value<std::size_t>()->default_value("100"))(
       "servers", "", cxxopts::value<std::size_t>()->default_value("500"))(
       "shards", "", cxxopts::value<std::size_t>()->default_value("4"))(
       "zones", "", cxxopts::value<std::size_t>()->default_value("18"))(
       "regions", "", cxxopts::value<std::size_t>()->default_value("6"))(
       "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "most-nodes", "bound of the primary; 0: as built", cxxopts::value<std::size_t>()->default_value("0"))(
-      "document", "bytes of the configuration", cxxopts::value<std::size_t>()->default_value("0"))(
+      "most-nodes", "limit of nodes that the primary puts on the roster; 0: the default",
+      cxxopts::value<std::size_t>()->default_value("0"))("document", "size of the configuration in bytes",
+                                                         cxxopts::value<std::size_t>()->default_value("0"))(
       "phases", "steady,changes,churn,loss,zone,region,primary",
       cxxopts::value<std::string>()->default_value("steady,changes,churn,loss"))(
-      "seconds", "of the steady and the zone stretch", cxxopts::value<double>()->default_value("10"))(
+      "seconds", "duration of the steady and of the zone measurement", cxxopts::value<double>()->default_value("10"))(
       "churn-seconds", "", cxxopts::value<double>()->default_value("30"))(
-      "start", "cold: all within 2 s; calm: within 0.1 s, after the founding",
-      cxxopts::value<std::string>()->default_value("calm"))("speed", "how much faster than a day churn runs",
+      "start", "cold: all nodes start within 2 s; calm: within 0.1 s, after the fleet is founded",
+      cxxopts::value<std::string>()->default_value("calm"))("speed",
+                                                            "factor by which the churn of a day is accelerated",
                                                             cxxopts::value<double>()->default_value("20"))("help", "");
-  cxxopts::ParseResult const given = options.parse(count, words);
-  if (given.count("help") > 0) {
+  cxxopts::ParseResult const flags = options.parse(argc, argv);
+  if (flags.count("help") > 0) {
     std::cout << options.help();
     return 0;
   }
-  Shape shape;
-  shape.nodes = given["nodes"].as<std::size_t>();
-  shape.servers = given["servers"].as<std::size_t>();
-  shape.shards = given["shards"].as<std::size_t>();
-  shape.zones = given["zones"].as<std::size_t>();
-  shape.regions = given["regions"].as<std::size_t>();
-  shape.seed = given["seed"].as<std::uint64_t>();
-  shape.maxNodes = given["most-nodes"].as<std::size_t>();
-  shape.documentBytes = given["document"].as<std::size_t>();
-  std::set<std::string> const phases = wordsOf(given["phases"].as<std::string>());
-  Ms const stretchMs(static_cast<long>(given["seconds"].as<double>() * 1000));
-  double const speed = given["speed"].as<double>();
+  FleetShape shape;
+  shape.nodes = flags["nodes"].as<std::size_t>();
+  shape.servers = flags["servers"].as<std::size_t>();
+  shape.shards = flags["shards"].as<std::size_t>();
+  shape.zones = flags["zones"].as<std::size_t>();
+  shape.regions = flags["regions"].as<std::size_t>();
+  shape.seed = flags["seed"].as<std::uint64_t>();
+  shape.maxNodes = flags["most-nodes"].as<std::size_t>();
+  shape.documentBytes = flags["document"].as<std::size_t>();
+  std::set<std::string> const phases = splitAtCommas(flags["phases"].as<std::string>());
+  Ms const measurementMs(static_cast<long>(flags["seconds"].as<double>() * 1000));
+  double const speed = flags["speed"].as<double>();
 
   double const heapBefore = heapBytes();
   Fleet fleet(shape);
-  bool const cold = given["start"].as<std::string>() == "cold";
+  bool const cold = flags["start"].as<std::string>() == "cold";
   fleet.startAll(cold ? Ms(0) : Ms(4000), cold ? Ms(2000) : Ms(100));
   bool warm = false;
   std::map<std::string, double> startSent;
   double startBytes = 0;
   int warmSeconds = 0;
   for (; warmSeconds < 40 && !warm; ++warmSeconds) {
-    Stretch const stretch = fleet.measure(Ms(1000));
-    for (std::pair<std::string const, KindLoad> const& kind : stretch.kinds) {
+    Measurement const measurement = fleet.measure(Ms(1000));
+    for (std::pair<std::string const, MessageLoad> const& kind : measurement.kinds) {
       startSent[kind.first] += static_cast<double>(kind.second.sent);
       startBytes += static_cast<double>(kind.second.bytes);
     }
     warm = fleet.serving() >= shape.nodes;
     std::fprintf(stderr, "%d s: %zu serve, %zu listed, %.0f bytes sent so far\n", warmSeconds + 1, fleet.serving(),
-                 fleet.listed(), startBytes);
+                 fleet.rosterSize(), startBytes);
   }
-  Landing const founding = fleet.change(Ms(10'000));
+  ChangeOutcome const firstChange = fleet.change(Ms(10'000));
   fleet.run(Ms(3000));
-  warm = warm && founding.verdict == "taken";
+  warm = warm && firstChange.verdict == "taken";
   std::fprintf(stderr, "seed %llu: %zu of %zu nodes serve after the warm-up\n",
                static_cast<unsigned long long>(shape.seed), fleet.serving(), shape.nodes);
   std::ostream& out = std::cout;
   out << "{\"nodes\":" << shape.nodes << ",\"servers\":" << shape.servers << ",\"shards\":" << shape.shards
       << ",\"zones\":" << shape.zones << ",\"regions\":" << shape.regions << ",\"seed\":" << shape.seed
       << ",\"most_nodes\":" << shape.maxNodes << ",\"document\":" << shape.documentBytes
-      << ",\"speed\":" << number(speed) << ",\"warm\":" << (warm ? "true" : "false")
-      << ",\"serving\":" << fleet.serving() << ",\"listed\":" << fleet.listed()
+      << ",\"speed\":" << formatNumber(speed) << ",\"warm\":" << (warm ? "true" : "false")
+      << ",\"serving\":" << fleet.serving() << ",\"listed\":" << fleet.rosterSize()
       << ",\"state_bytes\":" << fleet.stateBytes()
-      << ",\"heap_per_node\":" << number((heapBytes() - heapBefore) / static_cast<double>(shape.nodes))
+      << ",\"heap_per_node\":" << formatNumber((heapBytes() - heapBefore) / static_cast<double>(shape.nodes))
       << ",\"start\":{\"cold\":" << (cold ? 1 : 0) << ",\"seconds\":" << warmSeconds
-      << ",\"bytes\":" << number(startBytes);
+      << ",\"bytes\":" << formatNumber(startBytes);
   for (std::pair<std::string const, double> const& kind : startSent) {
-    out << ",\"" << kind.first << "\":" << number(kind.second);
+    out << ",\"" << kind.first << "\":" << formatNumber(kind.second);
   }
-  out << "},\"first_change\":{\"acknowledged_ms\":" << founding.acknowledgedMs.count()
-      << ",\"everywhere_ms\":" << founding.everywhereMs.count() << "}";
+  out << "},\"first_change\":{\"acknowledged_ms\":" << firstChange.acknowledgedMs.count()
+      << ",\"everywhere_ms\":" << firstChange.everywhereMs.count() << "}";
   if (phases.contains("steady")) {
-    out << ",\"steady\":" << json(fleet.measure(stretchMs));
+    out << ",\"steady\":" << json(fleet.measure(measurementMs));
   }
   out.flush();
   if (phases.contains("changes")) {
@@ -191,10 +200,10 @@
     std::vector<double> everywhere;
     std::size_t taken = 0;
     for (int round = 0; round < 4; ++round) {
-      Landing const landing = fleet.change(Ms(15'000));
-      taken += landing.verdict == "taken" ? 1 : 0;
-      acknowledged.push_back(static_cast<double>(landing.acknowledgedMs.count()));
-      everywhere.push_back(static_cast<double>(landing.everywhereMs.count()));
+      ChangeOutcome const outcome = fleet.change(Ms(15'000));
+      taken += outcome.verdict == "taken" ? 1 : 0;
+      acknowledged.push_back(static_cast<double>(outcome.acknowledgedMs.count()));
+      everywhere.push_back(static_cast<double>(outcome.everywhereMs.count()));
       fleet.run(Ms(500));
     }
     out << ",\"changes\":{\"asked\":4,\"taken\":" << taken << ",\"acknowledged_ms\":" << json(spreadOf(acknowledged))
@@ -203,8 +212,8 @@
   out.flush();
   if (phases.contains("churn")) {
     double const share = static_cast<double>(shape.nodes) / 1300;
-    Churn const rates{1400.0 / 86'400 * share * speed, 22.0 / 86'400 * share * speed, 1500.0 / 86'400 * speed};
-    out << ",\"churn\":" << json(fleet.churn(Ms(static_cast<long>(given["churn-seconds"].as<double>() * 1000)), rates));
+    ChurnRates const rates{1400.0 / 86'400 * share * speed, 22.0 / 86'400 * share * speed, 1500.0 / 86'400 * speed};
+    out << ",\"churn\":" << json(fleet.churn(Ms(static_cast<long>(flags["churn-seconds"].as<double>() * 1000)), rates));
   }
   out.flush();
   if (phases.contains("loss")) {
@@ -218,44 +227,45 @@
   out.flush();
   if (phases.contains("zone")) {
     fleet.loseZone();
-    Stretch const stretch = fleet.measure(stretchMs);
-    Landing const landing = fleet.change(Ms(15'000));
-    Ms const more = fleet.untilZoneForgotten(Ms(70'000));
+    Measurement const measurement = fleet.measure(measurementMs);
+    ChangeOutcome const outcome = fleet.change(Ms(15'000));
+    Ms const removalMs = fleet.awaitZoneRemoval(Ms(70'000));
     double const knownMs =
-        more < Ms(0)
+        removalMs < Ms(0)
             ? -1
-            : static_cast<double>(stretchMs.count() + std::max(landing.acknowledgedMs, landing.everywhereMs).count() +
-                                  more.count());
-    out << ",\"zone\":{\"stretch\":" << json(stretch) << ",\"acknowledged_ms\":" << landing.acknowledgedMs.count()
-        << ",\"everywhere_ms\":" << landing.everywhereMs.count() << ",\"known_ms\":" << number(knownMs)
+            : static_cast<double>(measurementMs.count() +
+                                  std::max(outcome.acknowledgedMs, outcome.everywhereMs).count() + removalMs.count());
+    out << ",\"zone\":{\"stretch\":" << json(measurement) << ",\"acknowledged_ms\":" << outcome.acknowledgedMs.count()
+        << ",\"everywhere_ms\":" << outcome.everywhereMs.count() << ",\"known_ms\":" << formatNumber(knownMs)
         << ",\"serving\":" << fleet.serving() << ",\"alive\":" << fleet.alive() << "}";
   }
   out.flush();
   if (phases.contains("region")) {
     std::size_t const before = fleet.serving();
     fleet.cutRegion(true);
-    std::size_t const there = fleet.servingInCutRegion();
+    std::size_t const servingAtCut = fleet.servingInCutRegion();
     fleet.run(Ms(3000));
-    std::size_t const still = fleet.servingInCutRegion();
-    Stretch const stretch = fleet.measure(Ms(1000));
-    Landing const landing = fleet.change(Ms(3000));
+    std::size_t const servingAfterCut = fleet.servingInCutRegion();
+    Measurement const measurement = fleet.measure(Ms(1000));
+    ChangeOutcome const outcome = fleet.change(Ms(3000));
     std::size_t const serving = fleet.serving();
     fleet.cutRegion(false);
     bool const healed = fleet.awaitServing(before, Ms(10'000));
-    out << ",\"region\":{\"before\":" << before << ",\"in_region\":" << there << ",\"in_region_after_3s\":" << still
-        << ",\"serving\":" << serving << ",\"verdict\":\"" << landing.verdict
-        << "\",\"healed\":" << (healed ? "true" : "false") << ",\"stretch\":" << json(stretch) << "}";
+    out << ",\"region\":{\"before\":" << before << ",\"in_region\":" << servingAtCut
+        << ",\"in_region_after_3s\":" << servingAfterCut << ",\"serving\":" << serving << ",\"verdict\":\""
+        << outcome.verdict << "\",\"healed\":" << (healed ? "true" : "false") << ",\"stretch\":" << json(measurement)
+        << "}";
   }
   out.flush();
   if (phases.contains("primary")) {
     fleet.killPrimary();
-    Stretch const stretch = fleet.measure(Ms(2500));
-    Landing landing;
-    for (int round = 0; round < 20 && landing.verdict != "taken"; ++round) {
-      landing = fleet.change(Ms(10'000));
+    Measurement const measurement = fleet.measure(Ms(2500));
+    ChangeOutcome outcome;
+    for (int round = 0; round < 20 && outcome.verdict != "taken"; ++round) {
+      outcome = fleet.change(Ms(10'000));
       fleet.run(Ms(100));
     }
-    out << ",\"primary\":{\"stretch\":" << json(stretch) << ",\"verdict\":\"" << landing.verdict
+    out << ",\"primary\":{\"stretch\":" << json(measurement) << ",\"verdict\":\"" << outcome.verdict
         << "\",\"serving\":" << fleet.serving() << "}";
   }
   out << "}\n";
--- a/test_support/capacity/slopes.py
+++ b/test_support/capacity/slopes.py
@@ -1,33 +1,33 @@
 #!/usr/bin/env python3
-"""Fits the reports of scale_simulation and cost_benchmark: a line, n log n or a square; prints a table, draws an SVG."""
+"""Fits a + b n, a + b n log n or a + b n^2 to reports of scale_simulation and cost_benchmark; prints a table, draws an SVG."""
 
 import argparse
 import json
 import math
 import sys
 
-SHAPES = [("a + b n", lambda n: n), ("a + b n log n", lambda n: n * math.log2(max(n, 2))), ("a + b n^2", lambda n: n * n)]
+MODELS = [("a + b n", lambda n: n), ("a + b n log n", lambda n: n * math.log2(max(n, 2))), ("a + b n^2", lambda n: n * n)]
 
 
-def fit(points, shape):
-    xs = [shape(n) for n, _ in points]
+def fit(points, model):
+    xs = [model(n) for n, _ in points]
     ys = [y for _, y in points]
     count = len(points)
-    middle_x, middle_y = sum(xs) / count, sum(ys) / count
-    spread = sum((x - middle_x) ** 2 for x in xs)
-    b = sum((x - middle_x) * (y - middle_y) for x, y in zip(xs, ys)) / spread if spread else 0.0
-    a = middle_y - b * middle_x
-    total = sum((y - middle_y) ** 2 for y in ys)
-    left = sum((y - a - b * x) ** 2 for x, y in zip(xs, ys))
-    return a, b, 1 - left / total if total else 1.0
+    mean_x, mean_y = sum(xs) / count, sum(ys) / count
+    spread = sum((x - mean_x) ** 2 for x in xs)
+    b = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys)) / spread if spread else 0.0
+    a = mean_y - b * mean_x
+    total = sum((y - mean_y) ** 2 for y in ys)
+    residual = sum((y - a - b * x) ** 2 for x, y in zip(xs, ys))
+    return a, b, 1 - residual / total if total else 1.0
 
 
-def best(points):
-    fits = [(name, *fit(points, shape), shape) for name, shape in SHAPES]
+def best_fit(points):
+    fits = [(name, *fit(points, model), model) for name, model in MODELS]
     return max(fits, key=lambda one: round(one[3], 3))
 
 
-def dig(value, path):
+def number_at(value, path):
     for key in path:
         if not isinstance(value, dict) or key not in value:
             return None
@@ -38,7 +38,7 @@
 def series_of(reports):
     series = {}
 
-    def put(title, n, y):
+    def add(title, n, y):
         if y is not None:
             series.setdefault(title, []).append((n, y))
 
@@ -52,37 +52,37 @@
                     axes = {"routes": axes["routes"]}
                 for key, value in axes.items():
                     for which in ("least", "median", "most"):
-                        put(f"{what}, {row['unit']} (n: {key})", value, row[which])
+                        add(f"{what}, {row['unit']} (n: {key})", value, row[which])
             continue
         tables = report["zones"] == 1
         n = report["shards"] if tables else report["nodes"]
-        mark = "shards, one zone of 72 nodes" if tables else "nodes"
-        put(f"state, bytes (n: {mark})", n, report["state_bytes"])
-        put(f"heap for a hollow node, bytes (n: {mark})", n, report["heap_per_node"])
+        axis = "shards, one zone of 72 nodes" if tables else "nodes"
+        add(f"state, bytes (n: {axis})", n, report["state_bytes"])
+        add(f"heap for a hollow node, bytes (n: {axis})", n, report["heap_per_node"])
         for phase, path in (("steady", ["steady"]), ("churn", ["churn"]), ("zone lost", ["zone", "stretch"]),
                             ("primary lost", ["primary", "stretch"]), ("region cut", ["region", "stretch"])):
-            stretch = report
+            measurement = report
             for key in path:
-                stretch = stretch.get(key, {})
+                measurement = measurement.get(key, {})
             for role in ("front", "home", "primary", "backup", "witness", "spare"):
                 for key in ("sent_per_s", "received_per_s", "sent_bytes_per_s", "received_bytes_per_s", "processor_share", "peers"):
-                    put(f"{phase}, {role}: {key} (n: {mark})", n, dig(stretch, ["roles", role, key, "median"]))
-            for kind in stretch.get("kinds", {}):
+                    add(f"{phase}, {role}: {key} (n: {axis})", n, number_at(measurement, ["roles", role, key, "median"]))
+            for kind in measurement.get("kinds", {}):
                 for key in ("sent_per_s", "bytes_each", "seal_us_each", "hear_us_each"):
-                    put(f"{phase}, {kind}: {key} (n: {mark})", n, dig(stretch, ["kinds", kind, key]))
-            put(f"{phase}: list reads a second (n: {mark})", n, dig(stretch, ["list_reads_per_s"]))
+                    add(f"{phase}, {kind}: {key} (n: {axis})", n, number_at(measurement, ["kinds", kind, key]))
+            add(f"{phase}: list reads a second (n: {axis})", n, number_at(measurement, ["list_reads_per_s"]))
         for key in ("acknowledged_ms", "everywhere_ms"):
-            put(f"change {key} (n: {mark})", n, dig(report, ["changes", key, "most"]))
-        put(f"a killed node known everywhere, ms (n: {mark})", n, dig(report, ["loss", "killed_known_ms", "most"]))
-        put(f"a lost zone known everywhere, ms (n: {mark})", n, dig(report, ["zone", "known_ms"]))
+            add(f"change {key} (n: {axis})", n, number_at(report, ["changes", key, "most"]))
+        add(f"a killed node known everywhere, ms (n: {axis})", n, number_at(report, ["loss", "killed_known_ms", "most"]))
+        add(f"a lost zone known everywhere, ms (n: {axis})", n, number_at(report, ["zone", "known_ms"]))
     return series
 
 
-def drawing(title, points, line, place):
+def chart(title, points, line, place):
     width, height, left, top = 300, 190, 60 + (place % 3) * 390, 40 + (place // 3) * 270
-    name, a, b, _, shape = line
+    name, a, b, _, model = line
     most_x = max(n for n, _ in points)
-    most_y = max(max(y for _, y in points), a + b * shape(most_x), 1e-9)
+    most_y = max(max(y for _, y in points), a + b * model(most_x), 1e-9)
     out = [f'<text x="{left}" y="{top - 12}" font-size="12">{title}</text>',
            f'<rect x="{left}" y="{top}" width="{width}" height="{height}" fill="none" stroke="#999"/>']
     for n, y in points:
@@ -90,7 +90,7 @@
     path = []
     for step in range(41):
         n = most_x * step / 40
-        y = min(max(a + b * shape(n), 0), most_y)
+        y = min(max(a + b * model(n), 0), most_y)
         path.append(f"{left + width * n / most_x:.1f},{top + height * (1 - y / most_y):.1f}")
     out.append(f'<polyline points="{" ".join(path)}" fill="none" stroke="#05a"/>')
     out.append(f'<text x="{left - 4}" y="{top + 10}" font-size="10" text-anchor="end">{most_y:.3g}</text>')
@@ -105,26 +105,26 @@
     parser.add_argument("--only", default="", help="rows whose title holds this text")
     parser.add_argument("--svg", default="")
     parser.add_argument("--draw", default="", help="titles to draw, ; between")
-    given = parser.parse_args()
+    options = parser.parse_args()
     reports = []
-    for name in given.reports:
+    for name in options.reports:
         with open(name, encoding="utf-8") as file:
             reports.append(json.load(file))
     series = series_of(reports)
-    print("| what | runs | at the most n: least / most | best shape | a | b | R2 | R2 of a line | fit at %g |\n|---|---|---|---|---|---|---|---|---|" % given.at)
+    print("| what | runs | at the most n: least / most | best shape | a | b | R2 | R2 of a line | fit at %g |\n|---|---|---|---|---|---|---|---|---|" % options.at)
     for title in sorted(series):
         points = sorted(series[title])
-        if given.only not in title or len({n for n, _ in points}) < 3:
+        if options.only not in title or len({n for n, _ in points}) < 3:
             continue
-        name, a, b, good, shape = best(points)
+        name, a, b, r_squared, model = best_fit(points)
         top = [y for n, y in points if n == points[-1][0]]
-        print(f"| {title} | {len(points)} | {points[-1][0]:g}: {min(top):.4g} / {max(top):.4g} | {name} | {a:.4g} | {b:.4g} | {good:.3f} "
-              f"| {fit(points, SHAPES[0][1])[2]:.3f} | {a + b * shape(given.at):.4g} |")
-    if given.svg:
-        wanted = [title for title in given.draw.split(";") if title in series] or sorted(series)[:9]
-        parts = [drawing(title, sorted(series[title]), best(sorted(series[title])), place) for place, title in enumerate(wanted)]
+        print(f"| {title} | {len(points)} | {points[-1][0]:g}: {min(top):.4g} / {max(top):.4g} | {name} | {a:.4g} | {b:.4g} | {r_squared:.3f} "
+              f"| {fit(points, MODELS[0][1])[2]:.3f} | {a + b * model(options.at):.4g} |")
+    if options.svg:
+        wanted = [title for title in options.draw.split(";") if title in series] or sorted(series)[:9]
+        parts = [chart(title, sorted(series[title]), best_fit(sorted(series[title])), place) for place, title in enumerate(wanted)]
         height = 60 + 270 * ((len(wanted) + 2) // 3)
-        with open(given.svg, "w", encoding="utf-8") as file:
+        with open(options.svg, "w", encoding="utf-8") as file:
             file.write(f'<svg xmlns="http://www.w3.org/2000/svg" width="1200" height="{height}" font-family="sans-serif">\n'
                        '<rect width="100%" height="100%" fill="#fff"/>\n' + "\n".join(parts) + "\n</svg>\n")
     return 0
--- a/test_support/fault_injection_preload.cpp
+++ b/test_support/fault_injection_preload.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-struct Orders {
+struct Faults {
   long syncMs = 0;
   long stuck = 0;
   long failing = 0;
@@ -23,57 +23,57 @@
 };
 
 template <typename Function>
-Function real(char const* name) {
+Function realFunction(char const* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
-Orders readOrders() {
-  Orders orders;
+Faults readFaults() {
+  Faults faults;
   char const* const path = getenv("FAULT_INJECTION");
   FILE* const file = path == nullptr ? nullptr : fopen(path, "re");
   if (file == nullptr) {
-    return orders;
+    return faults;
   }
   char key[32];
   long value = 0;
   while (fscanf(file, "%31s %ld", key, &value) == 2) {
-    for (auto const& known : {std::pair<char const*, long*>{"sync_ms", &orders.syncMs},
-                              {"stuck", &orders.stuck},
-                              {"failing", &orders.failing},
-                              {"full", &orders.full},
-                              {"clock_ms", &orders.clockMs}}) {
+    for (auto const& known : {std::pair<char const*, long*>{"sync_ms", &faults.syncMs},
+                              {"stuck", &faults.stuck},
+                              {"failing", &faults.failing},
+                              {"full", &faults.full},
+                              {"clock_ms", &faults.clockMs}}) {
       if (strcmp(known.first, key) == 0) {
         *known.second = value;
       }
     }
   }
   fclose(file);
-  return orders;
+  return faults;
 }
 
-void pauseMs(long ms) {
+void sleepMs(long ms) {
   timespec const span{ms / 1000, (ms % 1000) * 1'000'000};
   nanosleep(&span, nullptr);
 }
 
-bool syncRefused() {
-  Orders orders = readOrders();
-  while (orders.stuck != 0) {
-    pauseMs(50);
-    orders = readOrders();
+bool syncFails() {
+  Faults faults = readFaults();
+  while (faults.stuck != 0) {
+    sleepMs(50);
+    faults = readFaults();
   }
-  if (orders.syncMs > 0) {
-    pauseMs(orders.syncMs);
+  if (faults.syncMs > 0) {
+    sleepMs(faults.syncMs);
   }
-  if (orders.failing != 0 || orders.full != 0) {
-    errno = orders.full != 0 ? ENOSPC : EIO;
+  if (faults.failing != 0 || faults.full != 0) {
+    errno = faults.full != 0 ? ENOSPC : EIO;
     return true;
   }
   return false;
 }
 
-bool isFull() {
-  if (readOrders().full != 0) {
+bool diskIsFull() {
+  if (readFaults().full != 0) {
     errno = ENOSPC;
     return true;
   }
@@ -83,13 +83,13 @@
 std::atomic<long> clockOffsetMs{0};
 std::atomic<long> clockReadAt{-1};
 
-long offsetMs() {
-  static int (*const realClock)(clockid_t, timespec*) = real<int (*)(clockid_t, timespec*)>("clock_gettime");
+long currentClockOffsetMs() {
+  static int (*const realClock)(clockid_t, timespec*) = realFunction<int (*)(clockid_t, timespec*)>("clock_gettime");
   timespec now{};
   realClock(CLOCK_MONOTONIC, &now);
-  long const tenth = now.tv_sec * 10 + now.tv_nsec / 100'000'000;
-  if (clockReadAt.exchange(tenth) != tenth) {
-    clockOffsetMs = readOrders().clockMs;
+  long const tenthOfSecond = now.tv_sec * 10 + now.tv_nsec / 100'000'000;
+  if (clockReadAt.exchange(tenthOfSecond) != tenthOfSecond) {
+    clockOffsetMs = readFaults().clockMs;
   }
   return clockOffsetMs;
 }
@@ -98,22 +98,23 @@
 
 extern "C" {
 
-int fsync(int file) { return syncRefused() ? -1 : real<int (*)(int)>("fsync")(file); }
-int fdatasync(int file) { return syncRefused() ? -1 : real<int (*)(int)>("fdatasync")(file); }
+int fsync(int file) { return syncFails() ? -1 : realFunction<int (*)(int)>("fsync")(file); }
+int fdatasync(int file) { return syncFails() ? -1 : realFunction<int (*)(int)>("fdatasync")(file); }
 
 ssize_t pwrite(int file, void const* bytes, size_t size, off_t at) {
-  return isFull() ? -1 : real<ssize_t (*)(int, void const*, size_t, off_t)>("pwrite")(file, bytes, size, at);
+  return diskIsFull() ? -1
+                      : realFunction<ssize_t (*)(int, void const*, size_t, off_t)>("pwrite")(file, bytes, size, at);
 }
 
 int posix_fallocate(int file, off_t at, off_t size) {
-  return isFull() ? ENOSPC : real<int (*)(int, off_t, off_t)>("posix_fallocate")(file, at, size);
+  return diskIsFull() ? ENOSPC : realFunction<int (*)(int, off_t, off_t)>("posix_fallocate")(file, at, size);
 }
 
 int clock_gettime(clockid_t clock, timespec* out) {
-  static int (*const realClock)(clockid_t, timespec*) = real<int (*)(clockid_t, timespec*)>("clock_gettime");
+  static int (*const realClock)(clockid_t, timespec*) = realFunction<int (*)(clockid_t, timespec*)>("clock_gettime");
   int const code = realClock(clock, out);
   if (code == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-    long const shiftMs = offsetMs();
+    long const shiftMs = currentClockOffsetMs();
     out->tv_sec += shiftMs / 1000;
     out->tv_nsec += (shiftMs % 1000) * 1'000'000;
     if (out->tv_nsec < 0) {
--- a/test_support/fault_proxy.cpp
+++ b/test_support/fault_proxy.cpp
@@ -17,15 +17,15 @@
 using namespace limeramp;
 using Clock = std::chrono::steady_clock;
 
-struct Wall {
+struct FaultProxy {
   std::mutex mutex;
-  std::set<std::pair<std::string, std::string>> cuts;
-  std::vector<std::pair<Clock::time_point, net::Responder>> drowned;
-  std::atomic<std::uint64_t> last{0};
-  std::atomic<std::uint64_t> passed{0};
+  std::set<std::pair<std::string, std::string>> blockedLinks;
+  std::vector<std::pair<Clock::time_point, net::Responder>> droppedRequests;
+  std::atomic<std::uint64_t> lastExchange{0};
+  std::atomic<std::uint64_t> forwarded{0};
 
-  void forgetOld() {
-    std::erase_if(drowned, [](std::pair<Clock::time_point, net::Responder> const& entry) {
+  void failExpired() {
+    std::erase_if(droppedRequests, [](std::pair<Clock::time_point, net::Responder> const& entry) {
       bool const old = Clock::now() - entry.first > std::chrono::seconds(3);
       if (old) {
         entry.second({503, {}, ""});
@@ -34,7 +34,7 @@
     });
   }
 
-  net::Answer control(std::string const& body) {
+  net::Answer replaceBlockedLinks(std::string const& body) {
     absl::StatusOr<picojson::value> const parsed = config::parseJson(body, {4u << 20, 5, 100'000});
     if (!parsed.ok() || !parsed->is<picojson::array>()) {
       return {400, {}, "an array of [from, to] is needed\n"};
@@ -47,23 +47,25 @@
       next.emplace(pair.get(0).to_str(), pair.get(1).to_str());
     }
     std::unique_lock<std::mutex> const lock(mutex);
-    cuts = std::move(next);
-    return {200, {}, "{\"cuts\":" + std::to_string(cuts.size()) + ",\"passed\":" + std::to_string(passed) + "}\n"};
+    blockedLinks = std::move(next);
+    return {200,
+            {},
+            "{\"cuts\":" + std::to_string(blockedLinks.size()) + ",\"passed\":" + std::to_string(forwarded) + "}\n"};
   }
 
-  void relay(net::HttpClient& client, std::string const& here, net::Address const& behind, net::Request request,
-             net::Responder respond) {
+  void relay(net::HttpClient& client, std::string const& listenAddress, net::Address const& upstream,
+             net::Request request, net::Responder respond) {
     std::string const from = net::findHeader(request.headers, "limeramp-from").value_or("");
     {
       std::unique_lock<std::mutex> const lock(mutex);
-      forgetOld();
-      if (cuts.contains({from, here})) {
-        drowned.emplace_back(Clock::now(), std::move(respond));
+      failExpired();
+      if (blockedLinks.contains({from, listenAddress})) {
+        droppedRequests.emplace_back(Clock::now(), std::move(respond));
         return;
       }
     }
-    ++passed;
-    client.begin(++last, behind, std::move(request), Clock::now() + std::chrono::seconds(15),
+    ++forwarded;
+    client.begin(++lastExchange, upstream, std::move(request), Clock::now() + std::chrono::seconds(15),
                  [respond = std::move(respond)](net::Exchange const& exchange) {
                    respond(exchange.answer.value_or(net::Answer{502, {}, ""}));
                  });
@@ -73,10 +75,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fault_proxy",
-                           "a stand-in for the network between nodes: passes their messages on, or cuts them");
+  cxxopts::Options options("fault_proxy", "simulates the network between nodes: forwards their messages or drops them");
   options.add_options()("listen", "address for control", cxxopts::value<std::string>())(
-      "map", "JSON file: an object of the address to listen on and the address behind it",
+      "map", "JSON file: an object that maps each address to listen on to its upstream address",
       cxxopts::value<std::string>())("help", "this text");
   try {
     cxxopts::ParseResult const flags = options.parse(argc, argv);
@@ -92,24 +93,25 @@
       std::cerr << "fault_proxy: --map must be an object of addresses\n";
       return 2;
     }
-    Wall wall;
+    FaultProxy proxy;
     net::Network network;
     net::HttpClient client(network, {8 << 20, 16, std::chrono::seconds(2)});
     std::vector<std::unique_ptr<net::HttpServer>> servers;
     net::ServerBounds bounds;
     bounds.maxBodyBytes = 8 << 20;
     for (std::pair<std::string const, picojson::value> const& entry : map->get<picojson::object>()) {
-      std::optional<net::Address> const here = net::Address::parse(entry.first);
-      std::optional<net::Address> const behind = net::Address::parse(entry.second.to_str());
-      if (!here || !behind || !here->host.starts_with("127.") || !behind->host.starts_with("127.")) {
+      std::optional<net::Address> const listenAddress = net::Address::parse(entry.first);
+      std::optional<net::Address> const upstream = net::Address::parse(entry.second.to_str());
+      if (!listenAddress || !upstream || !listenAddress->host.starts_with("127.") ||
+          !upstream->host.starts_with("127.")) {
         std::cerr << "fault_proxy: " << entry.first << " is not a pair of loopback addresses\n";
         return 2;
       }
       std::string error;
       servers.push_back(net::HttpServer::listen(
-          network, *here, bounds,
-          [&wall, &client, name = entry.first, behind](net::Request request, net::Responder respond) {
-            wall.relay(client, name, *behind, std::move(request), std::move(respond));
+          network, *listenAddress, bounds,
+          [&proxy, &client, name = entry.first, upstream](net::Request request, net::Responder respond) {
+            proxy.relay(client, name, *upstream, std::move(request), std::move(respond));
           },
           error));
       if (servers.back() == nullptr) {
@@ -117,11 +119,11 @@
         return 1;
       }
     }
-    return test_support::standUntilEnded(
+    return test_support::serveUntilSignal(
         "fault_proxy", flags["listen"].as<std::string>(),
-        [&wall](net::Request request, net::Responder respond) { respond(wall.control(request.body)); });
-  } catch (cxxopts::exceptions::exception const& wrong) {
-    std::cerr << "fault_proxy: " << wrong.what() << '\n';
+        [&proxy](net::Request request, net::Responder respond) { respond(proxy.replaceBlockedLinks(request.body)); });
+  } catch (cxxopts::exceptions::exception const& error) {
+    std::cerr << "fault_proxy: " << error.what() << '\n';
     return 2;
   }
 }
--- a/test_support/full_disk.h
+++ b/test_support/full_disk.h
@@ -7,26 +7,27 @@
 
 namespace limeramp::test_support {
 
-/// While it lives, every write of this process to a file is refused that ends behind the first `room` bytes, as by a
-/// full disk; what fits is written. Files can be opened and read; sockets and pipes are not touched.
+/// Simulates a full disk while it exists: every write of this process to a file fails that ends beyond the first
+/// `freeBytes` bytes of the file; the part that fits is written. Files can still be opened and read, and sockets and
+/// pipes are unaffected.
 class FullDisk {
  public:
-  explicit FullDisk(std::size_t room = 0) {
-    handler_ = ::signal(SIGXFSZ, SIG_IGN);
-    ::getrlimit(RLIMIT_FSIZE, &before_);
-    rlimit const limit{room, before_.rlim_max};
+  explicit FullDisk(std::size_t freeBytes = 0) {
+    previousHandler_ = ::signal(SIGXFSZ, SIG_IGN);
+    ::getrlimit(RLIMIT_FSIZE, &previousLimit_);
+    rlimit const limit{freeBytes, previousLimit_.rlim_max};
     ::setrlimit(RLIMIT_FSIZE, &limit);
   }
   ~FullDisk() {
-    ::setrlimit(RLIMIT_FSIZE, &before_);
-    ::signal(SIGXFSZ, handler_);
+    ::setrlimit(RLIMIT_FSIZE, &previousLimit_);
+    ::signal(SIGXFSZ, previousHandler_);
   }
   FullDisk(FullDisk const&) = delete;
   FullDisk& operator=(FullDisk const&) = delete;
 
  private:
-  rlimit before_{};
-  sighandler_t handler_ = SIG_DFL;
+  rlimit previousLimit_{};
+  sighandler_t previousHandler_ = SIG_DFL;
 };
 
 }  // namespace limeramp::test_support
--- a/test_support/load_generator.cpp
+++ b/test_support/load_generator.cpp
@@ -22,7 +22,7 @@
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 
-struct OperatorCall {
+struct PlannedCall {
   std::string name;
   std::string tenant;
   std::string path;
@@ -38,7 +38,7 @@
   long maxMs = 500;
 };
 
-struct Gate {
+struct Gateway {
   net::Address address;
   bool ready = false;
 };
@@ -53,23 +53,23 @@
 struct LoadRun {
   std::mutex mutex;
   std::condition_variable changed;
-  std::vector<Gate> gates;
-  std::vector<OperatorCall> calls;
+  std::vector<Gateway> gateways;
+  std::vector<PlannedCall> calls;
   std::ofstream log;
   Tally tally;
-  std::vector<std::string> wrongs;
-  std::size_t open = 0;
-  double impatience = 0;
-  /// Callers keep to a node until its process is gone, whatever its readiness says.
-  bool stays = false;
+  std::vector<std::string> wrongAnswers;
+  std::size_t inFlight = 0;
+  double retryShare = 0;
+  /// Callers keep using a node until its process has ended, whatever its readiness endpoint answers.
+  bool keepsToNode = false;
   std::uint64_t lastId = 0;
   std::uint64_t seed = 1;
   std::string name;
   std::mt19937_64 random;
 };
 
-std::string judgeSearch(OperatorCall const& call, std::string const& target, net::Answer const& answer,
-                        std::string& stamps, std::uint64_t& missing) {
+std::string checkSearchAnswer(PlannedCall const& call, std::string const& target, net::Answer const& answer,
+                              std::string& stamps, std::uint64_t& missing) {
   absl::StatusOr<picojson::value> const parsed = config::parseJson(answer.body);
   if (!parsed.ok() || !parsed->is<picojson::object>()) {
     return "the answer is not JSON";
@@ -109,8 +109,8 @@
   return got == expected ? "" : "the records are not the greatest of the parts";
 }
 
-std::string judgeForward(std::string const& id, std::string const& target, OperatorCall const& call,
-                         net::Answer const& answer) {
+std::string checkForwardAnswer(std::string const& id, std::string const& target, PlannedCall const& call,
+                               net::Answer const& answer) {
   absl::StatusOr<picojson::value> const parsed = config::parseJson(answer.body);
   if (!parsed.ok() || !parsed->is<picojson::object>()) {
     return "success that is not the server's answer";
@@ -123,19 +123,19 @@
   return "";
 }
 
-void launch(LoadRun& run, net::HttpClient& client, OperatorCall const& call, int again) {
+void sendCall(LoadRun& run, net::HttpClient& client, PlannedCall const& call, int retriesLeft) {
   std::unique_lock<std::mutex> lock(run.mutex);
-  std::vector<std::size_t> able;
-  for (std::size_t index = 0; index < run.gates.size(); ++index) {
-    if (run.gates[index].ready) {
-      able.push_back(index);
+  std::vector<std::size_t> readyGateways;
+  for (std::size_t index = 0; index < run.gateways.size(); ++index) {
+    if (run.gateways[index].ready) {
+      readyGateways.push_back(index);
     }
   }
-  if (able.empty()) {
+  if (readyGateways.empty()) {
     ++run.tally.counts["no ready node"];
     return;
   }
-  net::Address const gate = run.gates[able[run.random() % able.size()]].address;
+  net::Address const gateway = run.gateways[readyGateways[run.random() % readyGateways.size()]].address;
   std::uint64_t const number = ++run.lastId;
   long const deadlineMs =
       call.minMs + static_cast<long>(run.random() % static_cast<std::uint64_t>(call.maxMs - call.minMs + 1));
@@ -148,54 +148,54 @@
                      {"load_generator-id", id}};
   request.body = std::string(call.bodyBytes, 'b');
   std::string const target = request.target;
-  ++run.open;
+  ++run.inFlight;
   lock.unlock();
-  Clock::time_point const begun = Clock::now();
-  client.begin(number, gate, std::move(request), begun + Ms(deadlineMs + 1000),
-               [&run, &client, call, id, target, begun, deadlineMs, gate, again](net::Exchange const& exchange) {
-                 double const tookMs = std::chrono::duration<double, std::milli>(Clock::now() - begun).count();
-                 std::string verdict = exchange.answer
-                                           ? net::findHeader(exchange.answer->headers, "limeramp-verdict").value_or("-")
-                                           : std::string("unheard/") + std::string(retry::nameOf(exchange.verdict));
-                 std::string const version =
-                     exchange.answer ? net::findHeader(exchange.answer->headers, "limeramp-version").value_or("-")
-                                     : "-";
-                 int const status = exchange.answer ? exchange.answer->status : 0;
-                 std::string wrong;
-                 std::string stamps;
-                 std::uint64_t missing = 0;
-                 if (status == 200) {
-                   wrong = call.search ? judgeSearch(call, target, *exchange.answer, stamps, missing)
-                                       : judgeForward(id, target, call, *exchange.answer);
-                 }
-                 std::unique_lock<std::mutex> inner(run.mutex);
-                 std::string const kind = call.search ? "search " : "forward ";
-                 ++run.tally.counts[kind + (status == 0 ? verdict : std::to_string(status) + " " + verdict)];
-                 if (tookMs > static_cast<double>(deadlineMs) + 50) {
-                   ++run.tally.counts[kind + "later than its deadline by over 50 ms"];
-                 }
-                 if (status == 200) {
-                   (call.search ? run.tally.searchMs : run.tally.forwardMs).push_back(tookMs);
-                   run.tally.missing += missing;
-                   run.tally.counts["searches with missing shards"] += missing > 0 ? 1 : 0;
-                 }
-                 if (!wrong.empty()) {
-                   run.wrongs.push_back(id + ": " + wrong);
-                 }
-                 run.log << std::chrono::duration_cast<std::chrono::microseconds>(begun.time_since_epoch()).count()
-                         << '\t' << id << '\t' << call.name << '\t' << (call.search ? "search" : "forward") << '\t'
-                         << status << '\t' << verdict << '\t' << version << '\t' << stamps << '\t' << missing << '\t'
-                         << tookMs << '\t' << deadlineMs << '\t' << gate.text() << '\t' << wrong << '\n';
-                 bool const retry = again > 0 && status == 503 &&
-                                    std::uniform_real_distribution<double>(0, 1)(run.random) < run.impatience;
-                 inner.unlock();
-                 if (retry) {
-                   launch(run, client, call, again - 1);
-                 }
-                 inner.lock();
-                 --run.open;
-                 run.changed.notify_all();
-               });
+  Clock::time_point const startedAt = Clock::now();
+  client.begin(
+      number, gateway, std::move(request), startedAt + Ms(deadlineMs + 1000),
+      [&run, &client, call, id, target, startedAt, deadlineMs, gateway, retriesLeft](net::Exchange const& exchange) {
+        double const tookMs = std::chrono::duration<double, std::milli>(Clock::now() - startedAt).count();
+        std::string verdict = exchange.answer
+                                  ? net::findHeader(exchange.answer->headers, "limeramp-verdict").value_or("-")
+                                  : std::string("unheard/") + std::string(retry::nameOf(exchange.verdict));
+        std::string const version =
+            exchange.answer ? net::findHeader(exchange.answer->headers, "limeramp-version").value_or("-") : "-";
+        int const status = exchange.answer ? exchange.answer->status : 0;
+        std::string mismatch;
+        std::string stamps;
+        std::uint64_t missing = 0;
+        if (status == 200) {
+          mismatch = call.search ? checkSearchAnswer(call, target, *exchange.answer, stamps, missing)
+                                 : checkForwardAnswer(id, target, call, *exchange.answer);
+        }
+        std::unique_lock<std::mutex> inner(run.mutex);
+        std::string const kind = call.search ? "search " : "forward ";
+        ++run.tally.counts[kind + (status == 0 ? verdict : std::to_string(status) + " " + verdict)];
+        if (tookMs > static_cast<double>(deadlineMs) + 50) {
+          ++run.tally.counts[kind + "later than its deadline by over 50 ms"];
+        }
+        if (status == 200) {
+          (call.search ? run.tally.searchMs : run.tally.forwardMs).push_back(tookMs);
+          run.tally.missing += missing;
+          run.tally.counts["searches with missing shards"] += missing > 0 ? 1 : 0;
+        }
+        if (!mismatch.empty()) {
+          run.wrongAnswers.push_back(id + ": " + mismatch);
+        }
+        run.log << std::chrono::duration_cast<std::chrono::microseconds>(startedAt.time_since_epoch()).count() << '\t'
+                << id << '\t' << call.name << '\t' << (call.search ? "search" : "forward") << '\t' << status << '\t'
+                << verdict << '\t' << version << '\t' << stamps << '\t' << missing << '\t' << tookMs << '\t'
+                << deadlineMs << '\t' << gateway.text() << '\t' << mismatch << '\n';
+        bool const retry = retriesLeft > 0 && status == 503 &&
+                           std::uniform_real_distribution<double>(0, 1)(run.random) < run.retryShare;
+        inner.unlock();
+        if (retry) {
+          sendCall(run, client, call, retriesLeft - 1);
+        }
+        inner.lock();
+        --run.inFlight;
+        run.changed.notify_all();
+      });
 }
 
 double quantile(std::vector<double> values, double share) {
@@ -209,14 +209,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("load_generator", "stand-in callers: a bounded load on loopback, each answer checked");
-  options.add_options()("plan", "JSON file with gates and errands", cxxopts::value<std::string>())(
+  cxxopts::Options options("load_generator", "sends a bounded load over loopback and checks each answer");
+  options.add_options()("plan", "JSON file with the fields gates and errands", cxxopts::value<std::string>())(
       "rate", "requests a second", cxxopts::value<double>()->default_value("50"))(
-      "seconds", "length", cxxopts::value<double>()->default_value("10"))(
-      "seed", "seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "impatience", "share of refused callers that ask again at once", cxxopts::value<double>()->default_value("0.3"))(
-      "stays", "callers keep to a node until its process is gone, whatever its readiness says")(
-      "log", "file for a line of each request", cxxopts::value<std::string>())("help", "this text");
+      "seconds", "duration in seconds", cxxopts::value<double>()->default_value("10"))(
+      "seed", "seed of the random numbers", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "impatience", "share of rejected requests that are retried at once",
+      cxxopts::value<double>()->default_value("0.3"))(
+      "stays", "callers keep using a node until its process has ended, whatever its readiness endpoint answers")(
+      "log", "file that receives a line for each request", cxxopts::value<std::string>())("help", "this text");
   try {
     cxxopts::ParseResult const flags = options.parse(argc, argv);
     if (flags.count("help") > 0) {
@@ -234,22 +235,22 @@
     LoadRun run;
     run.seed = flags["seed"].as<std::uint64_t>();
     run.random.seed(run.seed);
-    run.impatience = flags["impatience"].as<double>();
-    run.stays = flags.count("stays") > 0;
+    run.retryShare = flags["impatience"].as<double>();
+    run.keepsToNode = flags.count("stays") > 0;
     run.log.open(flags["log"].as<std::string>(), std::ios::app);
     run.name = "s" + std::to_string(Clock::now().time_since_epoch() / std::chrono::microseconds(1) % 1'000'000'000);
     std::vector<config::Problem> problems;
     config::Reader reader(*plan, "", problems);
-    for (std::string const& gate : reader.texts("gates", 100)) {
-      std::optional<net::Address> const address = net::Address::parse(gate);
+    for (std::string const& gateway : reader.texts("gates", 100)) {
+      std::optional<net::Address> const address = net::Address::parse(gateway);
       if (!address || !address->host.starts_with("127.")) {
-        problems.push_back({"/gates", gate + " is not on loopback"});
+        problems.push_back({"/gates", gateway + " is not on loopback"});
       } else {
-        run.gates.push_back({*address, false});
+        run.gateways.push_back({*address, false});
       }
     }
     reader.eachItem("errands", 1, 50, [&](config::Reader& inner) {
-      OperatorCall call;
+      PlannedCall call;
       call.name = inner.text("name", std::nullopt);
       call.tenant = inner.text("tenant", std::nullopt);
       call.path = inner.text("path", std::nullopt);
@@ -274,47 +275,48 @@
     double const seconds = std::min(3600.0, flags["seconds"].as<double>());
     net::Network network;
     net::HttpClient client(network, {4 << 20, 64, Ms(1000)});
-    net::HttpClient prober(network, {1 << 16, 1, Ms(5000)});
+    net::HttpClient probeClient(network, {1 << 16, 1, Ms(5000)});
     std::atomic<bool> ended{false};
-    std::thread platform([&] {
+    std::thread readinessThread([&] {
       std::uint64_t number = 0;
       while (!ended) {
-        for (std::size_t index = 0; index < run.gates.size(); ++index) {
+        for (std::size_t index = 0; index < run.gateways.size(); ++index) {
           net::Request request{"GET", "/limeramp/ready", {}, "", ""};
-          prober.begin(++number, run.gates[index].address, request, Clock::now() + Ms(700),
-                       [&run, index](net::Exchange const& exchange) {
-                         std::unique_lock<std::mutex> const lock(run.mutex);
-                         run.gates[index].ready = exchange.answer && (run.stays || exchange.answer->status == 200);
-                       });
+          probeClient.begin(++number, run.gateways[index].address, request, Clock::now() + Ms(700),
+                            [&run, index](net::Exchange const& exchange) {
+                              std::unique_lock<std::mutex> const lock(run.mutex);
+                              run.gateways[index].ready =
+                                  exchange.answer && (run.keepsToNode || exchange.answer->status == 200);
+                            });
         }
         std::this_thread::sleep_for(Ms(1000));
       }
     });
     std::this_thread::sleep_for(Ms(800));
     std::vector<double> shares;
-    for (OperatorCall const& call : run.calls) {
+    for (PlannedCall const& call : run.calls) {
       shares.push_back(call.share);
     }
-    std::discrete_distribution<std::size_t> which(shares.begin(), shares.end());
+    std::discrete_distribution<std::size_t> chooseCall(shares.begin(), shares.end());
     std::mt19937_64 random(run.seed);
-    std::exponential_distribution<double> gap(rate);
+    std::exponential_distribution<double> interval(rate);
     Clock::time_point const start = Clock::now();
     double at = 0;
-    std::uint64_t launched = 0;
-    while ((at += gap(random)) < seconds) {
+    std::uint64_t sentCalls = 0;
+    while ((at += interval(random)) < seconds) {
       std::this_thread::sleep_until(start + std::chrono::microseconds(static_cast<long>(at * 1e6)));
-      launch(run, client, run.calls[which(random)], 3);
-      ++launched;
+      sendCall(run, client, run.calls[chooseCall(random)], 3);
+      ++sentCalls;
     }
     {
       std::unique_lock<std::mutex> lock(run.mutex);
-      run.changed.wait_for(lock, std::chrono::seconds(10), [&] { return run.open == 0; });
+      run.changed.wait_for(lock, std::chrono::seconds(10), [&] { return run.inFlight == 0; });
     }
     ended = true;
-    platform.join();
+    readinessThread.join();
     network.stop();
     run.log.flush();
-    std::printf("launched %llu in %.0f s, rate %.0f, seed %llu\n", static_cast<unsigned long long>(launched), seconds,
+    std::printf("launched %llu in %.0f s, rate %.0f, seed %llu\n", static_cast<unsigned long long>(sentCalls), seconds,
                 rate, static_cast<unsigned long long>(run.seed));
     for (std::pair<std::string const, std::uint64_t> const& entry : run.tally.counts) {
       std::printf("%8llu  %s\n", static_cast<unsigned long long>(entry.second), entry.first.c_str());
@@ -327,13 +329,13 @@
                   entry.second->size());
     }
     std::printf("missing shards %llu\nwrong answers %zu\n", static_cast<unsigned long long>(run.tally.missing),
-                run.wrongs.size());
-    for (std::size_t index = 0; index < std::min<std::size_t>(10, run.wrongs.size()); ++index) {
-      std::printf("  %s\n", run.wrongs[index].c_str());
+                run.wrongAnswers.size());
+    for (std::size_t index = 0; index < std::min<std::size_t>(10, run.wrongAnswers.size()); ++index) {
+      std::printf("  %s\n", run.wrongAnswers[index].c_str());
     }
-    return run.wrongs.empty() ? 0 : 1;
-  } catch (cxxopts::exceptions::exception const& wrong) {
-    std::cerr << "load_generator: " << wrong.what() << '\n';
+    return run.wrongAnswers.empty() ? 0 : 1;
+  } catch (cxxopts::exceptions::exception const& error) {
+    std::cerr << "load_generator: " << error.what() << '\n';
     return 2;
   }
 }
--- a/test_support/message_sizes.h
+++ b/test_support/message_sizes.h
@@ -9,6 +9,7 @@
 
 namespace limeramp::test_support {
 
+/// Record `index` of a shard for a request target: stub_server returns it and load_generator expects it.
 inline std::string recordOf(std::string const& target, std::string const& shard, std::size_t index) {
   std::uint64_t const seed = XXH64(target.data(), target.size(), XXH64(shard.data(), shard.size(), 0));
   char record[24];
--- a/test_support/stub_program.h
+++ b/test_support/stub_program.h
@@ -8,17 +8,17 @@
 
 namespace limeramp::test_support {
 
-inline int standUntilEnded(std::string const& program, std::string const& listen, net::HttpServer::Handler handler) {
+inline int serveUntilSignal(std::string const& program, std::string const& listen, net::HttpServer::Handler handler) {
   std::optional<net::Address> const address = net::Address::parse(listen);
   if (!address) {
     std::cerr << program << ": --listen must be IP:PORT\n";
     return 2;
   }
-  sigset_t ends;
-  sigemptyset(&ends);
-  sigaddset(&ends, SIGTERM);
-  sigaddset(&ends, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &ends, nullptr);
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, SIGTERM);
+  sigaddset(&signals, SIGINT);
+  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   net::Network network;
   std::string error;
   std::unique_ptr<net::HttpServer> const server =
@@ -27,8 +27,8 @@
     std::cerr << program << ": " << error << '\n';
     return 1;
   }
-  int number = 0;
-  sigwait(&ends, &number);
+  int receivedSignal = 0;
+  sigwait(&signals, &receivedSignal);
   network.stop();
   return 0;
 }
--- a/tests/audit_check.py
+++ b/tests/audit_check.py
@@ -1,4 +1,4 @@
-"""Feeds the drills' audit one fault at a time: it must say broken for that line and held, or not exercised, for the rest."""
+"""Feeds one fault at a time to the audit of the drills: it must say broken for that line and held, or not exercised, for the others."""
 
 import contextlib
 import io
@@ -14,15 +14,15 @@
 DOCUMENT = {"searches": {}, "routes": {}}
 
 
-class Story:
+class AuditCase:
     def __init__(self, folder):
         self.folder = folder
         self.acks = [(100.0, "1.1", DOCUMENT, "PUT"), (110.0, "1.2", DOCUMENT, "PUT")]
         self.refusals, self.unknowns, self.restored = [], [], [2.0]
         self.allowed = {"p-0", "p-1", "logs"}
-        self.leavings, self.zonesEmptied = [(120.0, "p-0-s1")], [[120.0, None, "z2"]]
-        self.fresh = [(130.0, "p-1-s9", 10.0, 3.0)]
-        self.cutsOf = {"1.2": {"p-0": "c2", "p-1": "c2"}}
+        self.departures, self.emptied_zones = [(120.0, "p-0-s1")], [[120.0, None, "z2"]]
+        self.fresh_servers = [(130.0, "p-1-s9", 10.0, 3.0)]
+        self.cuts_of_version = {"1.2": {"p-0": "c2", "p-1": "c2"}}
         self.servers = [{"name": "p-0-s0", "zone": "z1"}, {"name": "p-0-s1", "zone": "z1"}, {"name": "p-1-s9", "zone": "z1"},
                         {"name": "logs-s0", "zone": "z1"}, {"name": "logs-s1", "zone": "z2"}]
         self.expected = DOCUMENT
@@ -52,52 +52,52 @@
 
 def verdicts_of(change):
     with tempfile.TemporaryDirectory() as folder:
-        story = Story(folder)
-        change(story)
-        story.write()
+        case = AuditCase(folder)
+        change(case)
+        case.write()
         with contextlib.redirect_stdout(io.StringIO()):
-            return [word for _, word, _, _ in audit(story)]
+            return [word for _, word, _, _ in audit(case)]
 
 
-def answer(**more):
+def add_answer(**more):
     base = dict(at=114.0, id="k-9", kind="search", status=200, verdict="ran", version="1.2", stamps="p-0=c2,p-1=c2", missing=0)
-    return lambda story: story.answers.append(dict(base, **more))
+    return lambda case: case.answers.append(dict(base, **more))
 
 
-def arrive(*rows):
-    return lambda story: story.arrivals.extend(rows)
+def add_arrivals(*rows):
+    return lambda case: case.arrivals.extend(rows)
 
 
-def nothing(story):
-    story.acks, story.leavings, story.zonesEmptied, story.fresh, story.restored = [], [], [], [], []
-    story.answers, story.arrivals = [], []
+def clear_everything(case):
+    case.acks, case.departures, case.emptied_zones, case.fresh_servers, case.restored = [], [], [], [], []
+    case.answers, case.arrivals = [], []
 
 
-def put(name, value):
-    return lambda story: setattr(story, name, value)
+def set_attribute(name, value):
+    return lambda case: setattr(case, name, value)
 
 
 FAULTS = [
-    (0, "a forward arrives twice", arrive((112.5, "logs-s0", "logs", "r3", "logs", "k-2"))),
-    (1, "a refused one arrives", arrive((113.5, "logs-s0", "logs", "r4", "logs", "k-4"))),
-    (2, "cuts of two configurations", answer(stamps="p-0=c1,p-1=c2")),
-    ((2, 4), "a record twice", answer(wrong="twice: x")),
-    ((3, 4), "too few shards", answer(missing=1, wrong="too few shards")),
-    (4, "another's bytes", answer(kind="forward", wrong="not its own body")),
-    (5, "a service never allowed", arrive((112.5, "decoy-s0", "decoy", "r3", "decoy", "k-5"))),
-    (6, "an old version late", answer(at=113.5, version="1.1", stamps="", gate="g2")),
-    (6, "a node slips back", lambda story: (answer(at=111.5, gate="g3")(story), answer(at=112.0, version="1.1", stamps="", gate="g3")(story))),
-    (7, "work after a departure", arrive((123.5, "p-0-s1", "p-0", "r5", "p-0", "k-6"))),
-    (7, "work in an emptied zone", arrive((125.5, "logs-s1", "logs", "r5", "logs", "k-6"))),
-    (8, "too many extra attempts", arrive(*[(114 + n / 100, "p-0-s0", "p-0", "r1", "p-0", "k-1") for n in range(70)])),
-    (9, "a fresh server pushed", arrive(*[(130.1 + n / 100, "p-1-s9", "p-1", f"x{n}", "p-1", f"k-x{n}") for n in range(20)])),
-    (10, "an older one read back", put("readBack", ("1.1", DOCUMENT))),
-    (10, "nothing read back", put("readBack", (None, None))),
-    (10, "another document read back", put("readBack", ("1.2", {"searches": {}}))),
-    (10, "a refused one in force", lambda story: (story.refusals.append((111.0, {"never": 1})), story.unknowns.append(1),
-                                                  put("readBack", ("1.2", {"never": 1}))(story))),
-    (11, "not back in time", put("restored", [13.0])),
-    (11, "not back at all", put("restored", [None])),
+    (0, "a forward arrives twice", add_arrivals((112.5, "logs-s0", "logs", "r3", "logs", "k-2"))),
+    (1, "a refused one arrives", add_arrivals((113.5, "logs-s0", "logs", "r4", "logs", "k-4"))),
+    (2, "cuts of two configurations", add_answer(stamps="p-0=c1,p-1=c2")),
+    ((2, 4), "a record twice", add_answer(wrong="twice: x")),
+    ((3, 4), "too few shards", add_answer(missing=1, wrong="too few shards")),
+    (4, "another's bytes", add_answer(kind="forward", wrong="not its own body")),
+    (5, "a service never allowed", add_arrivals((112.5, "decoy-s0", "decoy", "r3", "decoy", "k-5"))),
+    (6, "an old version late", add_answer(at=113.5, version="1.1", stamps="", gate="g2")),
+    (6, "a node slips back", lambda case: (add_answer(at=111.5, gate="g3")(case), add_answer(at=112.0, version="1.1", stamps="", gate="g3")(case))),
+    (7, "work after a departure", add_arrivals((123.5, "p-0-s1", "p-0", "r5", "p-0", "k-6"))),
+    (7, "work in an emptied zone", add_arrivals((125.5, "logs-s1", "logs", "r5", "logs", "k-6"))),
+    (8, "too many extra attempts", add_arrivals(*[(114 + n / 100, "p-0-s0", "p-0", "r1", "p-0", "k-1") for n in range(70)])),
+    (9, "a fresh server pushed", add_arrivals(*[(130.1 + n / 100, "p-1-s9", "p-1", f"x{n}", "p-1", f"k-x{n}") for n in range(20)])),
+    (10, "an older one read back", set_attribute("readBack", ("1.1", DOCUMENT))),
+    (10, "nothing read back", set_attribute("readBack", (None, None))),
+    (10, "another document read back", set_attribute("readBack", ("1.2", {"searches": {}}))),
+    (10, "a refused one in force", lambda case: (case.refusals.append((111.0, {"never": 1})), case.unknowns.append(1),
+                                                  set_attribute("readBack", ("1.2", {"never": 1}))(case))),
+    (11, "not back in time", set_attribute("restored", [13.0])),
+    (11, "not back at all", set_attribute("restored", [None])),
 ]
 
 
@@ -108,12 +108,12 @@
         nonlocal failed
         failed += got != wanted
         print(("ok    " if got == wanted else "WRONG ") + name + ("" if got == wanted else f": {got}"))
-    whole = verdicts_of(lambda story: None)
+    whole = verdicts_of(lambda case: None)
     check("a good day", whole, ["held"] * 12)
     for lines, name, change in FAULTS:
         wanted = lines if isinstance(lines, tuple) else (lines,)
         check(name, verdicts_of(change), ["broken" if place in wanted else "held" for place in range(12)])
-    quiet = verdicts_of(nothing)
+    quiet = verdicts_of(clear_everything)
     check("an idle day", quiet, ["not exercised"] * 12)
     print(f"{len(FAULTS) + 2 - failed} passed, {failed} failed")
     return 1 if failed else 0
--- a/tests/fleet_runner/audit.py
+++ b/tests/fleet_runner/audit.py
@@ -1,4 +1,4 @@
-"""Compares what the servers received and the callers were told with what must never happen."""
+"""Checks the arrivals at the servers and the answers to the callers against what must never happen."""
 
 import bisect
 import collections
@@ -36,14 +36,14 @@
     verdict("a refused request has run, or runs later", len(refused), [a["id"] for a in refused if runs[a["id"]] > 0])
 
     searches = [a for a in answers if a["kind"] == "search" and a["status"] == 200]
-    mixed = []
+    mixed_cuts = []
     for a in searches:
-        wanted = fleet.cutsOf.get(a["version"])
+        wanted = fleet.cuts_of_version.get(a["version"])
         got = dict(s.split("=") for s in a["stamps"].split(",") if s)
         if wanted is not None and any(wanted.get(s) != c for s, c in got.items()):
-            mixed.append(a["id"])
+            mixed_cuts.append(a["id"])
     parts = [a["id"] + ": " + a["wrong"] for a in searches if "twice" in a["wrong"] or "greatest" in a["wrong"]]
-    verdict("a merged answer mixes configurations, lists a part twice or another request's", len(searches), mixed + parts)
+    verdict("a merged answer mixes configurations, lists a part twice or another request's", len(searches), mixed_cuts + parts)
     verdict("a merged answer counts as a success with too few shards", sum(a["missing"] > 0 for a in searches),
             [a["id"] for a in searches if "too few" in a["wrong"] or "add up" in a["wrong"]])
     verdict("a failure dressed as success, or someone else's bytes", sum(a["status"] == 200 for a in answers),
@@ -51,7 +51,7 @@
     verdict("a request reaches a service no configuration allowed", len(arrivals),
             sorted({a[2] for a in arrivals} - fleet.allowed))
 
-    late, slips = [], []
+    late, regressions = [], []
     acks = sorted((at, version_key(version)) for at, version, _, _ in fleet.acks)
     versioned = [a for a in answers if a["version"] not in ("-", "")]
     for a in versioned:
@@ -71,20 +71,20 @@
         for a in rows:
             place = bisect.bisect_left(times, a["at"])
             if place > 0 and version_key(a["version"]) < best[place - 1]:
-                slips.append(f"{a['id']} at {gate}: {a['version']} after {best[place - 1]}")
+                regressions.append(f"{a['id']} at {gate}: {a['version']} after {best[place - 1]}")
     verdict("a configuration is not in force everywhere 3 s after it was acknowledged, or a node slips back",
-            max(0, len(acks) - 1), late + slips)
+            max(0, len(acks) - 1), late + regressions)
 
     after = []
-    for at, name in fleet.leavings:
+    for at, name in fleet.departures:
         after += [f"{name} {a[0] - at:.2f} s after" for a in arrivals if a[1] == name and a[0] > at + 3.0]
     zone_of = {s["name"]: s["zone"] for s in fleet.servers}
-    for at, until, zone in fleet.zonesEmptied:
+    for at, until, zone in fleet.emptied_zones:
         after += [f"{a[1]} {a[0] - at:.2f} s after its zone was emptied" for a in arrivals
                   if zone_of.get(a[1]) == zone and at + 5.0 < a[0] < (until or 1e18)]
-    verdict("a leaving server or an emptied zone gets work", len(fleet.leavings) + len(fleet.zonesEmptied), after)
+    verdict("a leaving server or an emptied zone gets work", len(fleet.departures) + len(fleet.emptied_zones), after)
 
-    worst, over = {}, []
+    worst_excess, overspent = {}, []
     by_service = collections.defaultdict(list)
     seen = set()
     for a in arrivals:
@@ -102,23 +102,23 @@
                 first -= rows[start][1]
                 extra -= not rows[start][1]
                 start += 1
-            worst[service] = max(worst.get(service, 0), extra - 0.2 * first)
-        if worst[service] > 60:
-            over.append(f"{service}: {worst[service]:.1f} above a fifth")
-    verdict("second servers cost more than a fifth of the traffic plus sixty arrivals in ten seconds", extras_all, over)
+            worst_excess[service] = max(worst_excess.get(service, 0), extra - 0.2 * first)
+        if worst_excess[service] > 60:
+            overspent.append(f"{service}: {worst_excess[service]:.1f} above a fifth")
+    verdict("second servers cost more than a fifth of the traffic plus sixty arrivals in ten seconds", extras_all, overspent)
 
     pushed, peak = [], 0
-    for at, name, capacity, ramp in fleet.fresh:
+    for at, name, capacity, ramp in fleet.fresh_servers:
         times = [a[0] for a in arrivals if a[1] == name]
         start = 0
         for end, moment in enumerate(times):
             while times[start] < moment - 1:
                 start += 1
-            bears = capacity * min(1.0, 0.2 + 0.8 * max(0.0, moment - at) / ramp)
-            peak = max(peak, (end - start + 1) / bears)
-            if end - start + 1 > 1.5 * bears + 1:
-                pushed.append(f"{name} {moment - at:.2f} s after its start: {end - start + 1} in a second, bears {bears:.0f}")
-    verdict("a fresh server is pushed past one and a half times what it bears", len(fleet.fresh), pushed)
+            allowed_rate = capacity * min(1.0, 0.2 + 0.8 * max(0.0, moment - at) / ramp)
+            peak = max(peak, (end - start + 1) / allowed_rate)
+            if end - start + 1 > 1.5 * allowed_rate + 1:
+                pushed.append(f"{name} {moment - at:.2f} s after its start: {end - start + 1} in a second, bears {allowed_rate:.0f}")
+    verdict("a fresh server is pushed past one and a half times what it bears", len(fleet.fresh_servers), pushed)
 
     version, document = fleet.current_version()
     lost = []
@@ -145,13 +145,13 @@
         for evidence in broken[:5]:
             print(f"                 {evidence}")
     print(f"  arrivals {len(arrivals)}, extra {extras_all}, most above a fifth "
-          f"{max(worst.values(), default=0):.1f} of 60" + (f", fresh peak {peak:.2f}" if fleet.fresh else "") +
+          f"{max(worst_excess.values(), default=0):.1f} of 60" + (f", fresh peak {peak:.2f}" if fleet.fresh_servers else "") +
           (f", total loss to ready {fleet.restored[0]:.1f} s" if fleet.restored and fleet.restored[0] else ""))
     return verdicts
 
 
 def steadiness(fleet, seconds):
-    """Resident memory and descriptors of processes that lived through the last two thirds."""
+    """Prints memory and descriptor growth over the last two thirds of a run of 120 s or more, for processes that lived through half of it."""
     rows = collections.defaultdict(list)
     for (name, _), samples in fleet.samples.items():
         late = [s for s in samples if s[0] > samples[-1][0] - seconds * 2 / 3]
--- a/tests/fleet_runner/calls.py
+++ b/tests/fleet_runner/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the processes of a fleet, and the small helpers that fleet, drills and audit share."""
+"""HTTP calls to the processes of a fleet and helpers shared by the fleet, the drills and the audit."""
 
 import http.client
 
--- a/tests/fleet_runner/drills.py
+++ b/tests/fleet_runner/drills.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a drill: each drill is a list of times and of what happens then."""
+"""The drills: each schedules the failures and operator calls of one run."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 class Drills:
-    """The drills: each is a list of (second, function)."""
+    """Each public method is a drill and returns a list of (second, function)."""
 
     def __init__(self, fleet, seconds):
         self.fleet = fleet
@@ -42,39 +42,39 @@
             for index in fleet.shape["indexes"]:
                 for shard in range(index["shards"]):
                     fleet.kill(f"{index['name']}-{shard}-s{fleet.random.randrange(index['servers'])}")
-            fleet.say("killed a server of every shard")
+            fleet.log("killed a server of every shard")
 
         victim = fleet.machines[-1]
 
         def kill_gateway():
             fleet.kill("gateway-" + victim["name"])
-            fleet.say("killed gateway " + victim["name"])
+            fleet.log("killed gateway " + victim["name"])
 
         def restart_gateway():
             fleet.start_gateway(victim)
-            fleet.say("restarted gateway " + victim["name"])
+            fleet.log("restarted gateway " + victim["name"])
 
         state = {}
 
         def kill_primary():
-            machine, _ = fleet.control()
+            machine, _ = fleet.find_primary()
             state["primary"] = machine
             fleet.kill("controller-" + machine["name"])
-            fleet.say("killed the primary on " + machine["name"])
+            fleet.log("killed the primary on " + machine["name"])
 
         def restart_primary():
             fleet.start_controller(state["primary"])
-            fleet.say("restarted the controller on " + state["primary"]["name"])
+            fleet.log("restarted the controller on " + state["primary"]["name"])
 
         def replace_disk():
-            active, _ = fleet.control()
+            active, _ = fleet.find_primary()
             old = next(m for m in fleet.machines if m["disk"] and m is not active and m["host"] + ":7001" not in fleet.seeds[:1])
             fleet.kill("controller-" + old["name"])
             fleet.kill("gateway-" + old["name"])
             shutil.rmtree(os.path.join(fleet.folder, "data-" + old["name"]), ignore_errors=True)
             new = fleet.new_machine(old, True)
             fleet.start_machine(new)
-            fleet.say(f"replaced {old['name']} by the empty {new['name']} at {new['host']}")
+            fleet.log(f"replaced {old['name']} by the empty {new['name']} at {new['host']}")
 
         return [(8 * share, kill_servers), (16 * share, kill_gateway), (24 * share, restart_gateway), (30 * share, kill_primary),
                 (38 * share, restart_primary), (44 * share, replace_disk)] + self.patches()
@@ -85,22 +85,22 @@
         def leave():
             server = next(s for s in fleet.servers if s["mode"] == "forward")
             http_call(fleet.platform, "PATCH", "/server", json.dumps(self.fleet.row(server, leaving=True)))
-            fleet.leavings.append((time.monotonic(), server["name"]))
+            fleet.departures.append((time.monotonic(), server["name"]))
             search = next(s for s in fleet.servers if s["mode"] == "search")
             http_call(fleet.platform, "PATCH", "/server", json.dumps(self.fleet.row(search, leaving=True)))
-            fleet.leavings.append((time.monotonic(), search["name"]))
-            fleet.say(f"{server['name']} and {search['name']} leave")
+            fleet.departures.append((time.monotonic(), search["name"]))
+            fleet.log(f"{server['name']} and {search['name']} leave")
 
         def empty():
             version, _ = fleet.current_version()
             zone = fleet.shape["zones"][1]
             status, _ = fleet.change("PATCH", {"emptied_zones": [zone]}, base=version)
             if status == 200:
-                fleet.zonesEmptied.append([time.monotonic(), None, zone])
+                fleet.emptied_zones.append([time.monotonic(), None, zone])
 
         def refill():
             version, _ = fleet.current_version()
-            fleet.zonesEmptied[-1][1] = time.monotonic()
+            fleet.emptied_zones[-1][1] = time.monotonic()
             fleet.change("PATCH", {"emptied_zones": []}, base=version)
 
         def join():
@@ -112,15 +112,15 @@
             fleet.start_server(server)
             time.sleep(0.2)
             http_call(fleet.platform, "PATCH", "/server", json.dumps(self.fleet.row(server)))
-            fleet.fresh.append((time.monotonic(), server["name"], server["capacity"], 3.0))
-            fleet.say(f"{server['name']} joins fresh")
+            fleet.fresh_servers.append((time.monotonic(), server["name"], server["capacity"], 3.0))
+            fleet.log(f"{server['name']} joins fresh")
 
         share = self.seconds / 60.0
         return [(6 * share, leave), (14 * share, join), (24 * share, empty), (40 * share, refill)]
 
-    def _manner(self, servers, **manner):
+    def _set_behavior(self, servers, **behavior):
         for server in servers:
-            http_call(server["address"], "POST", "/stub_server/control", json.dumps(manner))
+            http_call(server["address"], "POST", "/stub_server/control", json.dumps(behavior))
 
     def _one_of_each_shard(self):
         fleet = self.fleet
@@ -129,23 +129,23 @@
 
     def slow(self):
         def act():
-            self._manner(self._one_of_each_shard(), latency_ms=250)
-            self.fleet.say("one server of every shard takes 250 ms")
+            self._set_behavior(self._one_of_each_shard(), latency_ms=250)
+            self.fleet.log("one server of every shard takes 250 ms")
         return [(2, act)]
 
     def pauses(self):
         def act():
-            self._manner(self.fleet.random.sample(self.fleet.servers, max(1, len(self.fleet.servers) // 8)), pause_ms=200)
+            self._set_behavior(self.fleet.random.sample(self.fleet.servers, max(1, len(self.fleet.servers) // 8)), pause_ms=200)
         return [(second / 2, act) for second in range(6, int(self.seconds) * 2 - 4)]
 
     def garbage(self):
         def act():
-            self._manner(self._one_of_each_shard(), garbage=0.5)
-            self._manner([s for s in self.fleet.servers if s["mode"] == "forward"][:2], fail=0.5)
-            self.fleet.say("one server of every shard sends garbage half the time, two others fail")
+            self._set_behavior(self._one_of_each_shard(), garbage=0.5)
+            self._set_behavior([s for s in self.fleet.servers if s["mode"] == "forward"][:2], fail=0.5)
+            self.fleet.log("one server of every shard sends garbage half the time, two others fail")
 
         def heal():
-            self._manner([s for s in self.fleet.servers], garbage=0, fail=0)
+            self._set_behavior([s for s in self.fleet.servers], garbage=0, fail=0)
         return [(4, act), (self.seconds - 8, heal)]
 
     def vanish(self):
@@ -156,12 +156,12 @@
             victims.extend(self._one_of_each_shard() + [next(s for s in fleet.servers if s["mode"] == "forward")])
             for server in victims:
                 fleet.kill(server["name"], signal.SIGSTOP)
-            fleet.say("a server of every shard and a forward server vanish without closing")
+            fleet.log("a server of every shard and a forward server vanish without closing")
 
         def back():
             for server in victims:
                 fleet.kill(server["name"], signal.SIGCONT)
-            fleet.say("they are back")
+            fleet.log("they are back")
         return [(5, act), (self.seconds - 10, back)]
 
     def shards(self):
@@ -173,14 +173,14 @@
                 for server in fleet.servers:
                     if server["service"] == f"{index}-{shard}":
                         fleet.kill(server["name"])
-                fleet.say(f"all servers of shard {shard} are dead")
+                fleet.log(f"all servers of shard {shard} are dead")
             return act
 
         def back():
             for server in fleet.servers:
                 if server["service"] in (f"{index}-0", f"{index}-1"):
                     fleet.start_server(server)
-            fleet.say("both shards are back")
+            fleet.log("both shards are back")
         share = self.seconds / 60.0
         return [(8 * share, dead(0)), (24 * share, dead(1)), (40 * share, back)]
 
@@ -191,58 +191,58 @@
 
         def gateway():
             fleet.kill("gateway-" + victim["name"], signal.SIGSTOP)
-            fleet.say("froze gateway " + victim["name"])
+            fleet.log("froze gateway " + victim["name"])
 
         def thaw_gateway():
             fleet.kill("gateway-" + victim["name"], signal.SIGCONT)
-            fleet.say("thawed it")
+            fleet.log("thawed it")
 
         def primary():
-            machine, _ = fleet.control()
+            machine, _ = fleet.find_primary()
             state["name"] = "controller-" + machine["name"]
             fleet.kill(state["name"], signal.SIGSTOP)
-            fleet.say("froze " + state["name"])
+            fleet.log("froze " + state["name"])
 
         def thaw_primary():
             fleet.kill(state["name"], signal.SIGCONT)
-            fleet.say("thawed it")
+            fleet.log("thawed it")
         return [(5, gateway), (13, thaw_gateway), (17, primary), (25, thaw_primary)] + self.patches(4)
 
     def herd(self):
         fleet = self.fleet
         gateways = [m for m in fleet.machines if not m["disk"]][:4]
-        masters = []
+        primaries = []
 
         def act():
             for machine in gateways:
                 fleet.kill("gateway-" + machine["name"])
-            active, _ = fleet.control()
-            masters.append(active)
+            active, _ = fleet.find_primary()
+            primaries.append(active)
             fleet.kill("controller-" + active["name"])
-            fleet.say("killed " + ", ".join(m["name"] for m in gateways) + " and the primary on " + active["name"])
+            fleet.log("killed " + ", ".join(m["name"] for m in gateways) + " and the primary on " + active["name"])
 
         def back():
             for machine in gateways:
                 fleet.start_gateway(machine)
-            for machine in masters:
+            for machine in primaries:
                 fleet.start_controller(machine)
-            fleet.say("they are back")
+            fleet.log("they are back")
         return [(6, act), (18, back)] + self.patches(5)
 
     def rolling(self):
         fleet = self.fleet
 
-        def turn(machine):
+        def restart(machine):
             def act():
                 fleet.kill("gateway-" + machine["name"], signal.SIGTERM)
                 fleet.start_gateway(machine)
                 if machine["disk"]:
                     fleet.kill("controller-" + machine["name"], signal.SIGTERM)
                     fleet.start_controller(machine)
-                fleet.say("restarted " + machine["name"])
+                fleet.log("restarted " + machine["name"])
             return act
         step = (self.seconds - 8) / len(fleet.machines)
-        return [(3 + step * number, turn(machine)) for number, machine in enumerate(fleet.machines)]
+        return [(3 + step * number, restart(machine)) for number, machine in enumerate(fleet.machines)]
 
     def operators(self):
         fleet = self.fleet
@@ -260,7 +260,7 @@
                 for thread in threads:
                     thread.join()
                 if sorted(outcomes) != [200, 409]:
-                    fleet.say(f"ODD outcomes {outcomes}")
+                    fleet.log(f"ODD outcomes {outcomes}")
                 fleet.change("PATCH", {"searches": {"never": {"tenant": "x"}}}, base=fleet.current_version()[0])
             return act
         return [(second, race(second)) for second in range(3, int(self.seconds) - 4, 4)]
@@ -300,7 +300,7 @@
                 time.sleep(4)
                 shards = [{"service": name, "cut": cut} for name in services]
                 fleet.change("PATCH", {"searches": {index["name"]: {"shards": shards}}}, base=version)
-                fleet.say(f"{index['name']} is recut to {cut}")
+                fleet.log(f"{index['name']} is recut to {cut}")
             return begin
         return [(4, act("c2")), (self.seconds / 2 + 2, act("c3"))]
 
@@ -313,52 +313,52 @@
             for machine in new:
                 machine["disk"] = True
                 fleet.start_controller(machine)
-            fleet.say("new controllers on " + ", ".join(m["name"] for m in new))
+            fleet.log("new controllers on " + ", ".join(m["name"] for m in new))
 
         def leave(machine):
             def act():
                 fleet.kill("controller-" + machine["name"], signal.SIGTERM)
                 machine["disk"] = False
-                fleet.say("the controller on " + machine["name"] + " is gone")
+                fleet.log("the controller on " + machine["name"] + " is gone")
             return act
 
-        def tell():
-            machine, view = fleet.control()
-            fleet.say(f"primary on {machine and machine['name']}, epoch {view and view['epoch']}, witnesses "
+        def report_primary():
+            machine, view = fleet.find_primary()
+            fleet.log(f"primary on {machine and machine['name']}, epoch {view and view['epoch']}, witnesses "
                       + str(view and [w["id"].split("/")[0] for w in view["witnesses"]]))
         step = (self.seconds - 12) / len(old)
-        return ([(3, begin)] + [(8 + step * n, leave(machine)) for n, machine in enumerate(old)] + [(self.seconds - 2, tell)]
+        return ([(3, begin)] + [(8 + step * n, leave(machine)) for n, machine in enumerate(old)] + [(self.seconds - 2, report_primary)]
                 + self.patches(6))
 
     def cuts(self):
         fleet = self.fleet
-        everyone = fleet.gates(fleet.machines, "gateway") + fleet.gates(fleet.machines, "controller")
+        everyone = fleet.peer_addresses(fleet.machines, "gateway") + fleet.peer_addresses(fleet.machines, "controller")
 
-        def apart(side):
+        def links_around(side):
             rest = [a for a in everyone if a not in side]
             return [[a, b] for a in side for b in rest] + [[b, a] for a in side for b in rest]
 
         def heal():
-            fleet.cut([], "all cuts are mended")
+            fleet.block_links([], "all cuts are mended")
 
         def gateway():
-            fleet.cut(apart(fleet.gates(fleet.machines[-1:], "gateway")), "gateway " + fleet.machines[-1]["name"] + " is isolated")
+            fleet.block_links(links_around(fleet.peer_addresses(fleet.machines[-1:], "gateway")), "gateway " + fleet.machines[-1]["name"] + " is isolated")
 
         def primary():
-            machine, _ = fleet.control()
-            fleet.cut(apart([machine["host"] + ":8001"]), "the primary on " + machine["name"] + " is isolated")
+            machine, _ = fleet.find_primary()
+            fleet.block_links(links_around([machine["host"] + ":8001"]), "the primary on " + machine["name"] + " is isolated")
 
         def control():
-            fleet.cut(apart(fleet.gates(fleet.machines, "controller")), "the control group is cut off from all nodes")
+            fleet.block_links(links_around(fleet.peer_addresses(fleet.machines, "controller")), "the control group is cut off from all nodes")
 
-        def deaf():
+        def block_incoming():
             victim = fleet.machines[-2]["host"] + ":8000"
-            fleet.cut([[a, victim] for a in everyone if a != victim], fleet.machines[-2]["name"] + " hears nobody, and is heard")
+            fleet.block_links([[a, victim] for a in everyone if a != victim], fleet.machines[-2]["name"] + " hears nobody, and is heard")
 
         def five():
-            fleet.cut(apart(fleet.gates(fleet.machines[-5:], "gateway")), "five gateways are cut off together")
+            fleet.block_links(links_around(fleet.peer_addresses(fleet.machines[-5:], "gateway")), "five gateways are cut off together")
         out = []
-        for second, act in ((4, gateway), (16, primary), (28, control), (40, deaf), (50, five)):
+        for second, act in ((4, gateway), (16, primary), (28, control), (40, block_incoming), (50, five)):
             out += [(second, act), (second + 7, heal)]
         return out + self.patches(5)
 
@@ -375,11 +375,11 @@
 
         def lose():
             fleet.kill("gateway-" + owners[0]["name"])
-            fleet.say("killed the owner " + owners[0]["name"])
+            fleet.log("killed the owner " + owners[0]["name"])
 
         def back():
             fleet.start_gateway(owners[0])
-            fleet.say("restarted it")
+            fleet.log("restarted it")
         names = [m["name"] for m in owners]
         return [(4, own(names)), (9, lose), (15, back), (self.seconds - 6, own(None))]
 
@@ -388,7 +388,7 @@
         index, forward = fleet.shape["indexes"][0], fleet.shape["forwards"][0]
 
         def prepare():
-            self._manner([s for s in fleet.servers if s["mode"] == "search"], capacity=60, serial=1)
+            self._set_behavior([s for s in fleet.servers if s["mode"] == "search"], capacity=60, serial=1)
             version, document = fleet.current_version()
             fleet.change("PATCH", {"searches": {"flood": dict(document["searches"][index["name"]], tenant="flood")},
                                    "routes": {"flood": dict(document["routes"][forward["name"]], tenant="flood")}}, base=version)
@@ -404,29 +404,29 @@
                 [fleet.build + "/test_support/load_generator", "--plan", path, "--rate", "700", "--seconds", str(self.seconds - 18),
                  "--seed", str(fleet.seed + 1), "--impatience", "1", "--log", os.path.join(fleet.folder, "answers-flood.tsv")],
                 stdout=out, stderr=out)
-            fleet.say("another tenant sends 700 requests a second and asks again at once when refused")
+            fleet.log("another tenant sends 700 requests a second and asks again at once when refused")
         return [(3, prepare), (6, flood)]
 
     def zones(self):
         fleet = self.fleet
         step = (self.seconds - 6) / len(fleet.shape["zones"])
 
-        def of(zone):
+        def members_of(zone):
             return [m for m in fleet.machines if m["zone"] == zone], [s for s in fleet.servers if s["zone"] == zone]
 
         def lose(zone):
             def act():
-                machines, servers = of(zone)
+                machines, servers = members_of(zone)
                 for machine in machines:
                     fleet.kill_machine(machine)
                 for server in servers:
                     fleet.kill(server["name"])
-                fleet.say(f"zone {zone} is lost: {len(machines)} machines, {len(servers)} servers")
+                fleet.log(f"zone {zone} is lost: {len(machines)} machines, {len(servers)} servers")
             return act
 
         def back(zone):
             def act():
-                machines, servers = of(zone)
+                machines, servers = members_of(zone)
                 for server in servers:
                     fleet.start_server(server)
                 for machine in [m for m in machines if m["name"] + "!" not in fleet.upgraded]:
@@ -435,7 +435,7 @@
                         fleet.upgraded.add(machine["name"] + "!")
                         machine = fleet.new_machine(machine, True)
                     fleet.start_machine(machine)
-                fleet.say(f"zone {zone} is back, its disk machine empty at a new address")
+                fleet.log(f"zone {zone} is back, its disk machine empty at a new address")
             return act
         out = []
         for number, zone in enumerate(fleet.shape["zones"]):
@@ -450,13 +450,13 @@
             for machine in victims:
                 process = fleet.procs["gateway-" + machine["name"]]
                 process.send_signal(how)
-            fleet.say(f"{how.name} to {len(victims)} gateways of {len(fleet.machines)}")
+            fleet.log(f"{how.name} to {len(victims)} gateways of {len(fleet.machines)}")
 
         def back():
             for machine in victims:
                 fleet.kill("gateway-" + machine["name"])
                 fleet.start_gateway(fleet.new_machine(dict(machine), False))
-            fleet.say("as many new ones start at new names and addresses")
+            fleet.log("as many new ones start at new names and addresses")
         return [(5, act), (self.seconds / 2, back)] + self.patches(3)
 
     def herd7warned(self):
@@ -465,23 +465,23 @@
     def firststart(self):
         fleet = self.fleet
 
-        def come():
+        def start_missing_seed():
             fleet.start_machine(fleet.missing)
-            fleet.say("the missing seed " + fleet.missing["name"] + " starts")
-        return [(8, come)] + self.patches(4)
+            fleet.log("the missing seed " + fleet.missing["name"] + " starts")
+        return [(8, start_missing_seed)] + self.patches(4)
 
     def upgrade(self):
         fleet = self.fleet
 
-        def turn(machine):
+        def restart(machine):
             def act():
                 fleet.upgraded.add(machine["name"])
                 fleet.kill_machine(machine, signal.SIGTERM)
                 fleet.start_machine(machine)
-                fleet.say("upgraded " + machine["name"])
+                fleet.log("upgraded " + machine["name"])
             return act
         step = (self.seconds - 10) / len(fleet.machines)
-        return [(3 + step * number, turn(machine)) for number, machine in enumerate(fleet.machines)] + self.patches(5)
+        return [(3 + step * number, restart(machine)) for number, machine in enumerate(fleet.machines)] + self.patches(5)
 
     def darkrolling(self):
         fleet = self.fleet
@@ -489,92 +489,92 @@
         def end():
             for machine in fleet.machines:
                 fleet.kill("controller-" + machine["name"])
-            fleet.say("killed every controller")
+            fleet.log("killed every controller")
 
-        def turn(machine):
+        def restart(machine):
             def act():
                 fleet.kill("gateway-" + machine["name"], signal.SIGTERM)
                 fleet.start_gateway(machine)
                 began = time.monotonic()
                 good = fleet.await_ready(len(fleet.machines), 8)
-                fleet.say(f"restarted {machine['name']}, {'all ready' if good else 'NOT ready'} after {time.monotonic() - began:.1f} s")
+                fleet.log(f"restarted {machine['name']}, {'all ready' if good else 'NOT ready'} after {time.monotonic() - began:.1f} s")
             return act
 
         def back():
             for machine in fleet.machines:
                 if machine["disk"]:
                     fleet.start_controller(machine)
-            fleet.say("the controllers are back")
-        return ([(4, end)] + [(8 + 2 * n, turn(m)) for n, m in enumerate(fleet.machines)] + [(self.seconds - 8, back)]
+            fleet.log("the controllers are back")
+        return ([(4, end)] + [(8 + 2 * n, restart(m)) for n, m in enumerate(fleet.machines)] + [(self.seconds - 8, back)]
                 + [(self.seconds - 3, self.patches()[0][1])])
 
     def salvage(self):
         fleet = self.fleet
-        kept = {}
+        old_disks = {}
 
         def lose():
-            machine, view = fleet.control()
+            machine, view = fleet.find_primary()
             names = {w["id"].split("/")[0] for w in view["witnesses"]}
             for old in [m for m in fleet.machines if "h-" + m["name"] in names]:
                 fleet.kill("controller-" + old["name"])
                 path = os.path.join(fleet.folder, "data-" + old["name"])
                 os.rename(path, path + ".old")
                 new = fleet.new_machine(old, True)
-                kept[new["name"]] = path + ".old"
+                old_disks[new["name"]] = path + ".old"
                 fleet.start_controller(new)
-            fleet.say("all witnesses are lost, empty controllers start at new addresses")
+            fleet.log("all witnesses are lost, empty controllers start at new addresses")
 
-        def rescue():
+        def force_new_group():
             self.patches()[0][1]()
             nodes = ",".join(m["host"] + ":7000" for m in fleet.gateways())
-            chosen = next(m for m in fleet.machines if m["name"] in kept)
+            chosen = next(m for m in fleet.machines if m["name"] in old_disks)
             fleet.limerampctl("--nodes", nodes, "force-new-group", chosen["host"] + ":7001")
             fleet.limerampctl("--nodes", nodes, "--yes", "force-new-group", chosen["host"] + ":7001")
 
-        def haunt():
-            for name, path in kept.items():
+        def return_old_disk():
+            for name, path in old_disks.items():
                 machine = next(m for m in fleet.machines if m["name"] == name)
                 fleet.kill("controller-" + name)
-                ghost = fleet.new_machine(machine, True)
-                os.rename(path, os.path.join(fleet.folder, "data-" + ghost["name"]))
-                fleet.start_controller(ghost)
+                returned = fleet.new_machine(machine, True)
+                os.rename(path, os.path.join(fleet.folder, "data-" + returned["name"]))
+                fleet.start_controller(returned)
                 break
-            fleet.say("one of the old disks returns")
-        return [(5, lose), (12, rescue), (22, haunt)] + [(second, self.patches()[0][1]) for second in (3, 17, 26, 30)]
+            fleet.log("one of the old disks returns")
+        return [(5, lose), (12, force_new_group), (22, return_old_disk)] + [(second, self.patches()[0][1]) for second in (3, 17, 26, 30)]
 
     def disks(self):
         fleet = self.fleet
         state = {}
 
-        def trouble(role, **orders):
+        def inject(role, **faults):
             def act():
-                machine, view = fleet.control()
+                machine, view = fleet.find_primary()
                 if role == "primary":
                     name = "controller-" + machine["name"]
                 else:
                     name = "controller-" + view["backups"][0].split("/")[0][2:]
                 state["name"] = name
-                fleet.order(name, **orders)
-                fleet.say(f"the disk of {name}, {role}: {orders}")
+                fleet.set_faults(name, **faults)
+                fleet.log(f"the disk of {name}, {role}: {faults}")
             return act
 
         def heal():
-            fleet.order(state["name"])
+            fleet.set_faults(state["name"])
             fleet.kill(state["name"])
             fleet.start_controller(next(m for m in fleet.machines if state["name"].endswith(m["name"])))
-            fleet.say("healed and restarted " + state["name"])
+            fleet.log("healed and restarted " + state["name"])
 
         def fullstart():
             new = fleet.new_machine(dict(fleet.machines[-1]), True)
-            fleet.order("controller-" + new["name"], full=1)
+            fleet.set_faults("controller-" + new["name"], full=1)
             fleet.start_controller(new)
             code = fleet.procs["controller-" + new["name"]].wait(10)
-            fleet.say(f"a first start on a full disk ends with {code}" + ("" if code == 1 else " ODD"))
+            fleet.log(f"a first start on a full disk ends with {code}" + ("" if code == 1 else " ODD"))
             fleet.machines.remove(new)
         out = []
-        for number, (role, orders) in enumerate([("backup", {"sync_ms": 300}), ("primary", {"sync_ms": 300}), ("primary", {"stuck": 1}),
+        for number, (role, faults) in enumerate([("backup", {"sync_ms": 300}), ("primary", {"sync_ms": 300}), ("primary", {"stuck": 1}),
                                                  ("backup", {"stuck": 1}), ("primary", {"failing": 1}), ("backup", {"full": 1})]):
-            out += [(3 + number * 8, trouble(role, **orders)), (3 + number * 8 + 5, heal)]
+            out += [(3 + number * 8, inject(role, **faults)), (3 + number * 8 + 5, heal)]
         return out + [(51, fullstart)] + self.patches(3)
 
     def clocks(self):
@@ -583,8 +583,8 @@
         def jump():
             for name in list(fleet.procs):
                 if name.split("-")[0] in ("gateway", "controller") and fleet.random.random() < 0.6:
-                    fleet.order(name, clock_ms=fleet.random.choice([-7_200_000, -60_000, 5_000, 60_000, 86_400_000]))
-            fleet.say("wall clocks jump on most nodes")
+                    fleet.set_faults(name, clock_ms=fleet.random.choice([-7_200_000, -60_000, 5_000, 60_000, 86_400_000]))
+            fleet.log("wall clocks jump on most nodes")
         return [(second, jump) for second in range(3, int(self.seconds) - 2, 3)] + self.patches(4)
 
     def soak(self):
@@ -593,7 +593,7 @@
 
     def mix(self):
         fleet, random_source = self.fleet, random.Random(self.fleet.seed)
-        share = []
+        active_faults = []
 
         def pick(names):
             live = [n for n in names if fleet.procs.get(n) and fleet.procs[n].poll() is None]
@@ -614,7 +614,7 @@
             elif machine["disk"]:
                 fleet.start_controller(machine)
 
-        def hurt(kind):
+        def inject(kind):
             def act():
                 if kind == "zone":
                     zone = random_source.choice(fleet.shape["zones"])
@@ -625,7 +625,7 @@
                 elif kind == "total":
                     names = gateway_names() + controller_names()
                 elif kind in ("primary", "freezeprimary"):
-                    machine, _ = fleet.control()
+                    machine, _ = fleet.find_primary()
                     names = ["controller-" + machine["name"]] if machine else []
                 elif kind in ("server", "freezeserver"):
                     names = [s["name"] for s in random_source.sample(fleet.servers, 3)]
@@ -638,22 +638,22 @@
                 how = signal.SIGSTOP if kind.startswith("freeze") else signal.SIGTERM if kind == "warned" else signal.SIGKILL
                 for name in names:
                     if kind == "disk":
-                        fleet.order(name, sync_ms=random_source.choice([200, 400]))
+                        fleet.set_faults(name, sync_ms=random_source.choice([200, 400]))
                     elif kind == "clock":
-                        fleet.order(name, clock_ms=random_source.choice([-3_600_000, 3_600_000, 5_000]))
+                        fleet.set_faults(name, clock_ms=random_source.choice([-3_600_000, 3_600_000, 5_000]))
                     elif how == signal.SIGKILL:
                         fleet.procs[name].kill()
                     else:
                         fleet.kill(name, how)
-                share[:] = [(kind, names)]
-                fleet.say(f"{kind}: {', '.join(names)[:150]}")
+                active_faults[:] = [(kind, names)]
+                fleet.log(f"{kind}: {', '.join(names)[:150]}")
             return act
 
         def heal():
-            for kind, names in share:
+            for kind, names in active_faults:
                 for name in names:
                     if kind in ("disk", "clock"):
-                        fleet.order(name)
+                        fleet.set_faults(name)
                     elif kind.startswith("freeze"):
                         fleet.kill(name, signal.SIGCONT)
                     else:
@@ -663,14 +663,14 @@
                     began = time.monotonic()
                     good = fleet.await_ready(len(fleet.machines), 30)
                     fleet.restored.append(time.monotonic() - began if good else None)
-                fleet.say(f"{kind} is over")
-            share.clear()
+                fleet.log(f"{kind} is over")
+            active_faults.clear()
 
         kinds = ["server", "gateway", "primary", "freezegateway", "freezeprimary", "freezeserver", "disk", "clock", "warned", "zone", "herd"]
         out, second, turn = [], 6.0, 0
         while second < self.seconds - 20:
             kind = "total" if turn % 16 == 15 else random_source.choice(kinds)
-            out += [(second, hurt(kind)), (second + 5, heal)]
+            out += [(second, inject(kind)), (second + 5, heal)]
             second += 12
             turn += 1
         return out + self.patches(11)
@@ -683,23 +683,23 @@
                 fleet.kill("gateway-" + machine["name"])
                 if machine["disk"]:
                     fleet.kill("controller-" + machine["name"])
-            fleet.say("killed every node")
+            fleet.log("killed every node")
 
         def all_back():
             order = fleet.machines[:]
             fleet.random.shuffle(order)
             if lose is not None:
                 shutil.rmtree(os.path.join(fleet.folder, "data-" + fleet.machines[lose]["name"]))
-                fleet.say("the disk of " + fleet.machines[lose]["name"] + " is lost")
+                fleet.log("the disk of " + fleet.machines[lose]["name"] + " is lost")
             for machine in order:
                 if machine["disk"]:
                     fleet.start_controller(machine)
                 fleet.start_gateway(machine)
             began = time.monotonic()
-            fleet.say("all machines are back")
+            fleet.log("all machines are back")
             good = fleet.await_ready(len(fleet.machines), 30)
             fleet.restored.append(time.monotonic() - began if good else None)
-            fleet.say(f"ready again: {fleet.restored[-1]}")
+            fleet.log(f"ready again: {fleet.restored[-1]}")
 
         return [(5, lambda: self.patches()[0][1]()), (10, end_all), (13, all_back)]
 
--- a/tests/fleet_runner/fleet.py
+++ b/tests/fleet_runner/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback: starts, stops, freezes and kills its processes, and sends operators' calls."""
+"""Runs a fleet on loopback: starts, stops, freezes and kills its processes and sends operator calls to them."""
 
 import collections
 import http.client
@@ -29,13 +29,13 @@
         self.refusals = []
         self.unknowns = []
         self.allowed = set()
-        self.leavings = []
-        self.zonesEmptied = []
-        self.fresh = []
+        self.departures = []
+        self.emptied_zones = []
+        self.fresh_servers = []
         self.notes = []
         self.restored = []
         self.complaints = []
-        self.cutsOf = {}
+        self.cuts_of_version = {}
         self.rerun = True
         self.began = time.monotonic()
         os.makedirs(folder, exist_ok=True)
@@ -43,15 +43,15 @@
             zone = shape["zones"][number % len(shape["zones"])]
             host = f"127.{self.net}.{number % len(shape['zones']) + 1}.{number + 1}"
             self.machines.append({"name": f"m{number + 1:02d}", "zone": zone, "host": host, "disk": number < shape["disks"]})
-        self.wall = None
-        self.old = None
+        self.proxy = None
+        self.old_build = None
         self.upgraded = set()
         self.fault_preload = False
         self.missing = None
         self.samples = collections.defaultdict(list)
         self.seeds = [m["host"] + ":7001" for m in self.machines[:3]]
 
-    def say(self, text):
+    def log(self, text):
         line = f"[{time.monotonic() - self.began:7.2f}] {text}"
         self.notes.append(line)
         print(line, flush=True)
@@ -64,10 +64,11 @@
         self.procs[name] = subprocess.Popen(args, stdout=log, stderr=log, stdin=subprocess.DEVNULL, env=env)
         log.close()
 
-    def order(self, name, **orders):
+    def set_faults(self, name, **faults):
+        """Replaces the faults that the preload library injects into a process; without arguments there are none."""
         path = os.path.join(self.folder, "faults-" + name)
         with open(path + ".new", "w") as file:
-            file.writelines(f"{key} {value}\n" for key, value in orders.items())
+            file.writelines(f"{key} {value}\n" for key, value in faults.items())
         os.replace(path + ".new", path)
 
     def sample(self):
@@ -88,30 +89,30 @@
             if how in (signal.SIGKILL, signal.SIGTERM):
                 process.wait()
 
-    def raise_wall(self):
-        self.wall = f"127.{self.net}.250.2:7800"
+    def start_fault_proxy(self):
+        self.proxy = f"127.{self.net}.250.2:7800"
         path = os.path.join(self.folder, "wall.json")
         with open(path, "w") as file:
             json.dump({f"{m['host']}:{8000 + n}": f"{m['host']}:{7000 + n}" for m in self.machines for n in (0, 1)}, file)
         self.seeds = [m["host"] + ":8001" for m in self.machines[:3]]
-        self.spawn("fault_proxy", [self.build + "/test_support/fault_proxy", "--listen", self.wall, "--map", path])
+        self.spawn("fault_proxy", [self.build + "/test_support/fault_proxy", "--listen", self.proxy, "--map", path])
 
-    def cut(self, pairs, text):
-        http_call(self.wall, "PUT", "/", json.dumps(pairs))
-        self.say(text)
+    def block_links(self, pairs, text):
+        http_call(self.proxy, "PUT", "/", json.dumps(pairs))
+        self.log(text)
 
-    def gates(self, machines, program):
+    def peer_addresses(self, machines, program):
         return [m["host"] + (":8000" if program == "gateway" else ":8001") for m in machines if program == "gateway" or m["disk"]]
 
     def start_node(self, program, machine, **settings):
-        if self.wall:
+        if self.proxy:
             host, port = settings["listen"].split(":")
             settings["advertise"] = f"{host}:{int(port) + 1000}"
         name = program + "-" + machine["name"]
         path = os.path.join(self.folder, name + ".json")
         with open(path, "w") as file:
             json.dump(dict(settings, zone=machine["zone"], seeds=self.seeds), file, indent=1)
-        build = self.old if self.old and machine["name"] not in self.upgraded else self.build
+        build = self.old_build if self.old_build and machine["name"] not in self.upgraded else self.build
         self.spawn(name, [build + "/programs/limeramp-" + program, "--settings", path], self.fault_preload)
 
     def start_gateway(self, machine):
@@ -177,7 +178,7 @@
                                 most_ms=forward["most_ms"], body_bytes=forward.get("body_bytes", 0)))
         return dict(gates=[m["host"] + ":7000" for m in self.machines], errands=errands)
 
-    def start(self, wall):
+    def start(self, with_proxy):
         self.make_servers()
         path = os.path.join(self.folder, "list.json")
         with open(path, "w") as file:
@@ -185,8 +186,8 @@
         self.spawn("stub_instance_list", [self.build + "/test_support/stub_instance_list", "--listen", self.platform, "--list", path])
         for server in self.servers:
             self.start_server(server)
-        if wall:
-            self.raise_wall()
+        if with_proxy:
+            self.start_fault_proxy()
         for machine in self.machines:
             if machine is not self.missing:
                 self.start_machine(machine)
@@ -210,7 +211,7 @@
 
     def limerampctl(self, *words):
         done = subprocess.run([self.build + "/programs/limerampctl", *words], capture_output=True, text=True, timeout=30, stdin=subprocess.DEVNULL)
-        self.say(f"limerampctl {words[-2] if len(words) > 1 else words[0]}: exit {done.returncode} {done.stdout.strip()[:200]}")
+        self.log(f"limerampctl {words[-2] if len(words) > 1 else words[0]}: exit {done.returncode} {done.stdout.strip()[:200]}")
         return done.returncode
 
     def gateways(self):
@@ -240,7 +241,7 @@
             self.unknowns.append((now, body, answer.get("change")))
             for service in body.get("services", {}):
                 self.allowed.add(service)
-        self.say(f"{method} through {target}: {status} {answer.get('outcome')} {answer.get('version', '')} "
+        self.log(f"{method} through {target}: {status} {answer.get('outcome')} {answer.get('version', '')} "
                  f"{answer.get('reason', '')} after {now - asked:.2f} s")
         return status, answer
 
@@ -267,10 +268,11 @@
             if count >= wanted:
                 return True
             time.sleep(0.1)
-        self.say(f"only {count} of {wanted} nodes became ready")
+        self.log(f"only {count} of {wanted} nodes became ready")
         return False
 
-    def control(self):
+    def find_primary(self):
+        """The machine of the active primary and its status, or (None, None)."""
         for machine in self.machines:
             if not machine["disk"]:
                 continue
@@ -293,5 +295,5 @@
             try:
                 process.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
-                self.say(f"{name} did not end and is killed")
+                self.log(f"{name} did not end and is killed")
                 process.kill()
