--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -26,7 +26,7 @@
   "routes":{"logs":{"tenant":"k","prefix":"/packages/logs","service":"logs","repeatable":true}},
   "cells":{"north":{"tenants":["k"],"nodes":["m01"]}},"emptied_zones":["z2"]})";
 
-picojson::value anything(Random& random, int depth) {
+picojson::value randomValue(Random& random, int depth) {
   switch (random() % (depth > 0 ? 9 : 7)) {
     case 0:
       return picojson::value();
@@ -45,23 +45,23 @@
     case 7: {
       picojson::array out(random() % 3);
       for (picojson::value& entry : out) {
-        entry = anything(random, depth - 1);
+        entry = randomValue(random, depth - 1);
       }
       return picojson::value(out);
     }
     default: {
       picojson::object out;
-      for (std::uint64_t left = random() % 3; left > 0; --left) {
-        out[random() % 2 == 0 ? "services" : "odd"] = anything(random, depth - 1);
+      for (std::uint64_t remaining = random() % 3; remaining > 0; --remaining) {
+        out[random() % 2 == 0 ? "services" : "odd"] = randomValue(random, depth - 1);
       }
       return picojson::value(out);
     }
   }
 }
 
-void spoil(Random& random, picojson::value& value) {
+void mutateValue(Random& random, picojson::value& value) {
   if (random() % 4 == 0) {
-    value = anything(random, 3);
+    value = randomValue(random, 3);
   } else if (value.is<picojson::object>() && !value.get<picojson::object>().empty()) {
     picojson::object& object = value.get<picojson::object>();
     picojson::object::iterator const chosen = std::next(object.begin(), static_cast<long>(random() % object.size()));
@@ -70,21 +70,21 @@
         object.erase(chosen);
         break;
       case 1:
-        object["odd"] = anything(random, 2);
+        object["odd"] = randomValue(random, 2);
         break;
       default:
-        spoil(random, chosen->second);
+        mutateValue(random, chosen->second);
     }
   } else if (value.is<picojson::array>() && !value.get<picojson::array>().empty()) {
     picojson::array& array = value.get<picojson::array>();
-    spoil(random, array[random() % array.size()]);
+    mutateValue(random, array[random() % array.size()]);
   } else {
-    value = anything(random, 2);
+    value = randomValue(random, 2);
   }
 }
 
-std::string bytesSpoilt(Random& random, std::string text) {
-  for (std::uint64_t left = 1 + random() % 3; left > 0 && !text.empty(); --left) {
+std::string mutateBytes(Random& random, std::string text) {
+  for (std::uint64_t remaining = 1 + random() % 3; remaining > 0 && !text.empty(); --remaining) {
     std::size_t const at = random() % text.size();
     switch (random() % 3) {
       case 0:
@@ -100,14 +100,14 @@
   return text;
 }
 
-TEST(Fuzz, AConfigurationIsTakenWholeOrEveryProblemHasAPath) {
+TEST(Fuzz, ConfigurationIsAcceptedWholeOrEveryProblemHasAPath) {
   Random random(1);
-  std::size_t taken = 0;
-  std::size_t refused = 0;
+  std::size_t accepted = 0;
+  std::size_t rejected = 0;
   for (int round = 0; round < 20'000; ++round) {
     picojson::value value = *config::parseJson(document);
-    for (std::uint64_t left = random() % 3; left > 0; --left) {
-      spoil(random, value);
+    for (std::uint64_t remaining = random() % 3; remaining > 0; --remaining) {
+      mutateValue(random, value);
     }
     config::CheckedConfiguration const checked = config::checkConfiguration(value);
     ASSERT_EQ(checked.configuration.has_value(), checked.problems.empty());
@@ -116,10 +116,10 @@
       EXPECT_FALSE(problem.reason.empty());
     }
     if (!checked.configuration) {
-      ++refused;
+      ++rejected;
       continue;
     }
-    ++taken;
+    ++accepted;
     for (config::Search const& search : checked.configuration->searches) {
       EXPECT_GE(search.minimumShards, 1u);
       EXPECT_LE(search.minimumShards, search.shards.size());
@@ -134,83 +134,83 @@
         EXPECT_TRUE(checked.configuration->services.contains(choice.service));
       }
     }
-    absl::StatusOr<picojson::value> const again = config::parseJson(value.serialize());
-    ASSERT_TRUE(again.ok());
-    EXPECT_TRUE(config::checkConfiguration(*again).problems.empty());
+    absl::StatusOr<picojson::value> const reparsed = config::parseJson(value.serialize());
+    ASSERT_TRUE(reparsed.ok());
+    EXPECT_TRUE(config::checkConfiguration(*reparsed).problems.empty());
   }
-  EXPECT_GT(taken, 1000u);
-  EXPECT_GT(refused, 1000u);
+  EXPECT_GT(accepted, 1000u);
+  EXPECT_GT(rejected, 1000u);
 }
 
-TEST(Fuzz, AMergePatchTwiceIsTheSameAsOnceAndLeavesTheRestAlone) {
+TEST(Fuzz, MergePatchIsIdempotentAndKeepsOtherFields) {
   Random random(2);
   for (int round = 0; round < 20'000; ++round) {
     picojson::value target = *config::parseJson(document);
-    spoil(random, target);
-    picojson::value const patch = anything(random, 4);
-    picojson::value const once = config::mergePatch(target, patch);
-    EXPECT_EQ(config::mergePatch(once, patch), once);
+    mutateValue(random, target);
+    picojson::value const patch = randomValue(random, 4);
+    picojson::value const patched = config::mergePatch(target, patch);
+    EXPECT_EQ(config::mergePatch(patched, patch), patched);
     EXPECT_EQ(config::mergePatch(target, picojson::value(picojson::object())),
               target.is<picojson::object>() ? target : picojson::value(picojson::object()));
     if (patch.is<picojson::object>() && target.is<picojson::object>()) {
       for (std::pair<std::string const, picojson::value> const& entry : target.get<picojson::object>()) {
         if (!patch.contains(entry.first)) {
-          EXPECT_EQ(once.get(entry.first), entry.second);
+          EXPECT_EQ(patched.get(entry.first), entry.second);
         }
       }
     }
   }
 }
 
-TEST(Fuzz, TextThatIsNotStrictJsonNeverCrashesTheReader) {
+TEST(Fuzz, JsonParserSurvivesMutatedTextAndRoundTripsWhatItAccepts) {
   Random random(3);
-  std::size_t read = 0;
+  std::size_t parsed = 0;
   for (int round = 0; round < 30'000; ++round) {
-    absl::StatusOr<picojson::value> const value = config::parseJson(bytesSpoilt(random, document));
+    absl::StatusOr<picojson::value> const value = config::parseJson(mutateBytes(random, document));
     if (value.ok()) {
-      ++read;
-      absl::StatusOr<picojson::value> const again = config::parseJson(value->serialize());
-      ASSERT_TRUE(again.ok());
-      EXPECT_EQ(*again, *value);
+      ++parsed;
+      absl::StatusOr<picojson::value> const reparsed = config::parseJson(value->serialize());
+      ASSERT_TRUE(reparsed.ok());
+      EXPECT_EQ(*reparsed, *value);
     }
   }
-  EXPECT_GT(read, 1000u);
+  EXPECT_GT(parsed, 1000u);
 }
 
-TEST(Fuzz, APartIsTakenOnlyWithItsStampSortedAndBounded) {
+TEST(Fuzz, ShardResultIsAcceptedOnlyWithItsStampSortedAndBounded) {
   Random random(4);
   dispatch::ShardStamp const stamp{"a", "c1", "r1"};
-  std::string const right = R"({"stamp":{"shard":"a","cut":"c1","request":"r1"},"records":["b","c","a","c","zz"]})";
-  std::size_t taken = 0;
+  std::string const validText = R"({"stamp":{"shard":"a","cut":"c1","request":"r1"},"records":["b","c","a","c","zz"]})";
+  std::size_t accepted = 0;
   for (int round = 0; round < 30'000; ++round) {
-    std::string const body = bytesSpoilt(random, right);
-    absl::StatusOr<dispatch::ShardResult> const part = dispatch::parseShardResult(body, stamp, 3);
-    if (part.ok()) {
-      ++taken;
-      EXPECT_EQ(part->stamp, stamp);
-      EXPECT_LE(part->records.size(), 3u);
-      EXPECT_TRUE(std::is_sorted(part->records.rbegin(), part->records.rend()));
+    std::string const body = mutateBytes(random, validText);
+    absl::StatusOr<dispatch::ShardResult> const result = dispatch::parseShardResult(body, stamp, 3);
+    if (result.ok()) {
+      ++accepted;
+      EXPECT_EQ(result->stamp, stamp);
+      EXPECT_LE(result->records.size(), 3u);
+      EXPECT_TRUE(std::is_sorted(result->records.rbegin(), result->records.rend()));
       EXPECT_TRUE(config::parseJson(body).ok());
     }
   }
-  EXPECT_GT(taken, 500u);
-  EXPECT_LT(taken, 29'000u);
+  EXPECT_GT(accepted, 500u);
+  EXPECT_LT(accepted, 29'000u);
 }
 
-TEST(Fuzz, OfAListOnlyWholeRowsAreKept) {
+TEST(Fuzz, ServerListKeepsOnlyCompleteRows) {
   Random random(5);
-  std::string const right = R"({"servers":[
+  std::string const validText = R"({"servers":[
     {"address":"127.0.0.1:7100","service":"p0","zone":"z1","capacity":50,"leaving":false,"slow_start_ms":3000},
     {"address":"127.0.0.2:7100","service":"p0","zone":"z2","capacity":50},
     {"address":"127.0.0.3:7100","service":"logs","zone":"z1","capacity":20}]})";
-  ASSERT_EQ(discovery::readList(right)->rows, 3u);
+  ASSERT_EQ(discovery::readList(validText)->rows, 3u);
   std::size_t kept = 0;
   std::size_t dropped = 0;
   for (int round = 0; round < 20'000; ++round) {
-    picojson::value value = *config::parseJson(right);
-    spoil(random, value);
+    picojson::value value = *config::parseJson(validText);
+    mutateValue(random, value);
     absl::StatusOr<discovery::List> const list =
-        discovery::readList(round % 2 == 0 ? value.serialize() : bytesSpoilt(random, right));
+        discovery::readList(round % 2 == 0 ? value.serialize() : mutateBytes(random, validText));
     if (!list.ok()) {
       continue;
     }
@@ -231,20 +231,20 @@
   EXPECT_GT(dropped, 1000u);
 }
 
-TEST(Fuzz, SettingsAreUsableOrRefusedByPath) {
+TEST(Fuzz, SettingsAreUsableOrRejectedWithAPath) {
   Random random(6);
-  std::string const right =
+  std::string const validText =
       R"({"node":"m01","listen":"127.0.0.1:7000","zone":"z1","seeds":["127.0.0.1:7000","127.0.0.2:7000"],
     "platform":"127.0.0.9:7900","hands":2,"max_connections":100,"max_requests":50,"rerun":true,"log_level":"info"})";
-  ASSERT_TRUE(config::checkSettings(*config::parseJson(right), {true, false}).settings.has_value());
-  std::size_t taken = 0;
+  ASSERT_TRUE(config::checkSettings(*config::parseJson(validText), {true, false}).settings.has_value());
+  std::size_t accepted = 0;
   for (int round = 0; round < 20'000; ++round) {
-    picojson::value value = *config::parseJson(right);
-    spoil(random, value);
+    picojson::value value = *config::parseJson(validText);
+    mutateValue(random, value);
     config::CheckedSettings const checked = config::checkSettings(value, {true, false});
     ASSERT_EQ(checked.settings.has_value(), checked.problems.empty());
     if (checked.settings) {
-      ++taken;
+      ++accepted;
       EXPECT_FALSE(checked.settings->node.empty());
       EXPECT_TRUE(net::Address::parse(checked.settings->listen).has_value());
       EXPECT_GE(checked.settings->seeds.size(), 1u);
@@ -252,10 +252,10 @@
       EXPECT_GE(checked.settings->workerThreads, 1u);
     }
   }
-  EXPECT_GT(taken, 100u);
+  EXPECT_GT(accepted, 100u);
 }
 
-TEST(Fuzz, StoredRecordsThatDoNotReadAreDamageAndNeverAVote) {
+TEST(Fuzz, DamagedStoredRecordsAreReportedAndNeverCastAVote) {
   Random random(7);
   replication::TimePoint const now{std::chrono::hours(1)};
   std::map<std::string, std::string> disk;
@@ -275,23 +275,24 @@
     }
   }
   ASSERT_EQ(disk.size(), 4u);
-  std::size_t broken = 0;
+  std::size_t unhealthyRounds = 0;
   for (int round = 0; round < 10'000; ++round) {
-    std::map<std::string, std::string> spoilt = disk;
-    std::map<std::string, std::string>::iterator const victim =
-        std::next(spoilt.begin(), static_cast<long>(random() % spoilt.size()));
-    victim->second = random() % 2 == 0 ? bytesSpoilt(random, victim->second)
-                                       : victim->second.substr(0, random() % (victim->second.size() + 1));
+    std::map<std::string, std::string> mutated = disk;
+    std::map<std::string, std::string>::iterator const damagedRecord =
+        std::next(mutated.begin(), static_cast<long>(random() % mutated.size()));
+    damagedRecord->second = random() % 2 == 0
+                                ? mutateBytes(random, damagedRecord->second)
+                                : damagedRecord->second.substr(0, random() % (damagedRecord->second.size() + 1));
     replication::ReplicationGroup group{replication::ReplicationOptions{}};
     std::vector<replication::GroupEffect> const effects =
-        group.step(now, replication::Start{{"h0", "127.0.0.1:1", "z1"}, spoilt, 2});
+        group.step(now, replication::Start{{"h0", "127.0.0.1:1", "z1"}, mutated, 2});
     if (!group.unhealthy()) {
       continue;
     }
-    ++broken;
+    ++unhealthyRounds;
     EXPECT_TRUE(std::any_of(effects.begin(), effects.end(), [](replication::GroupEffect const& effect) {
-      replication::LogEntry const* const note = std::get_if<replication::LogEntry>(&effect);
-      return note != nullptr && note->event == logging::Event::diskDamaged;
+      replication::LogEntry const* const logEntry = std::get_if<replication::LogEntry>(&effect);
+      return logEntry != nullptr && logEntry->event == logging::Event::diskDamaged;
     }));
     for (replication::GroupEffect const& effect : group.step(
              now, replication::MessageReceived{
@@ -300,14 +301,14 @@
       EXPECT_FALSE(std::holds_alternative<replication::Persist>(effect));
     }
   }
-  EXPECT_GT(broken, 1000u);
+  EXPECT_GT(unhealthyRounds, 1000u);
 }
 
-TEST(Fuzz, AStoreOfSpoiltFilesServesWhatWasWrittenOrSaysDamaged) {
+TEST(Fuzz, RecordStoreWithDamagedFilesReturnsWrittenValuesOrReportsDamage) {
   std::string const folder = std::filesystem::temp_directory_path() / ("limeramp-fuzz-" + std::to_string(getpid()));
   Random random(8);
   std::size_t damaged = 0;
-  std::size_t whole = 0;
+  std::size_t intact = 0;
   for (int round = 0; round < 150; ++round) {
     std::filesystem::remove_all(folder);
     std::vector<std::map<std::string, std::string>> history;
@@ -322,7 +323,7 @@
         history.push_back(values);
       }
     }
-    for (std::uint64_t left = 1 + random() % 2; left > 0; --left) {
+    for (std::uint64_t remaining = 1 + random() % 2; remaining > 0; --remaining) {
       std::fstream file(folder + "/ring-" + std::to_string(random() % 4),
                         std::ios::in | std::ios::out | std::ios::binary);
       file.seekp(static_cast<long>(random() % 4096));
@@ -333,12 +334,12 @@
       ++damaged;
       continue;
     }
-    ++whole;
+    ++intact;
     EXPECT_NE(std::find(history.begin(), history.end(), (*store)->values()), history.end()) << round;
   }
   std::filesystem::remove_all(folder);
   EXPECT_GT(damaged, 5u);
-  EXPECT_GT(whole, 20u);
+  EXPECT_GT(intact, 20u);
 }
 
 }  // namespace
