--- a/test_support/load_generator.cpp
+++ b/test_support/load_generator.cpp
@@ -212,8 +212,8 @@
   cxxopts::Options options("load_generator", "sends a bounded load over loopback and checks each answer");
   options.add_options()("plan", "JSON file with the fields gates and errands", cxxopts::value<std::string>())(
       "rate", "requests a second", cxxopts::value<double>()->default_value("50"))(
-      "seconds", "duration in seconds", cxxopts::value<double>()->default_value("10"))(
-      "seed", "seed of the random numbers", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "seconds", "length", cxxopts::value<double>()->default_value("10"))(
+      "seed", "seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "impatience", "share of rejected requests that are retried at once",
       cxxopts::value<double>()->default_value("0.3"))(
       "stays", "callers keep using a node until its process has ended, whatever its readiness endpoint answers")(
--- a/tests/audit_check.py
+++ b/tests/audit_check.py
@@ -52,29 +52,29 @@
 
 def verdicts_of(change):
     with tempfile.TemporaryDirectory() as folder:
-        case = AuditCase(folder)
-        change(case)
-        case.write()
+        audit_case = AuditCase(folder)
+        change(audit_case)
+        audit_case.write()
         with contextlib.redirect_stdout(io.StringIO()):
-            return [word for _, word, _, _ in audit(case)]
+            return [word for _, word, _, _ in audit(audit_case)]
 
 
 def add_answer(**more):
     base = dict(at=114.0, id="k-9", kind="search", status=200, verdict="ran", version="1.2", stamps="p-0=c2,p-1=c2", missing=0)
-    return lambda case: case.answers.append(dict(base, **more))
+    return lambda audit_case: audit_case.answers.append(dict(base, **more))
 
 
 def add_arrivals(*rows):
-    return lambda case: case.arrivals.extend(rows)
+    return lambda audit_case: audit_case.arrivals.extend(rows)
 
 
-def clear_everything(case):
-    case.acks, case.departures, case.emptied_zones, case.fresh_servers, case.restored = [], [], [], [], []
-    case.answers, case.arrivals = [], []
+def clear_everything(audit_case):
+    audit_case.acks, audit_case.departures, audit_case.emptied_zones, audit_case.fresh_servers, audit_case.restored = [], [], [], [], []
+    audit_case.answers, audit_case.arrivals = [], []
 
 
 def set_attribute(name, value):
-    return lambda case: setattr(case, name, value)
+    return lambda audit_case: setattr(audit_case, name, value)
 
 
 FAULTS = [
@@ -86,7 +86,7 @@
     (4, "another's bytes", add_answer(kind="forward", wrong="not its own body")),
     (5, "a service never allowed", add_arrivals((112.5, "decoy-s0", "decoy", "r3", "decoy", "k-5"))),
     (6, "an old version late", add_answer(at=113.5, version="1.1", stamps="", gate="g2")),
-    (6, "a node slips back", lambda case: (add_answer(at=111.5, gate="g3")(case), add_answer(at=112.0, version="1.1", stamps="", gate="g3")(case))),
+    (6, "a node slips back", lambda audit_case: (add_answer(at=111.5, gate="g3")(audit_case), add_answer(at=112.0, version="1.1", stamps="", gate="g3")(audit_case))),
     (7, "work after a departure", add_arrivals((123.5, "p-0-s1", "p-0", "r5", "p-0", "k-6"))),
     (7, "work in an emptied zone", add_arrivals((125.5, "logs-s1", "logs", "r5", "logs", "k-6"))),
     (8, "too many extra attempts", add_arrivals(*[(114 + n / 100, "p-0-s0", "p-0", "r1", "p-0", "k-1") for n in range(70)])),
@@ -94,8 +94,8 @@
     (10, "an older one read back", set_attribute("readBack", ("1.1", DOCUMENT))),
     (10, "nothing read back", set_attribute("readBack", (None, None))),
     (10, "another document read back", set_attribute("readBack", ("1.2", {"searches": {}}))),
-    (10, "a refused one in force", lambda case: (case.refusals.append((111.0, {"never": 1})), case.unknowns.append(1),
-                                                  set_attribute("readBack", ("1.2", {"never": 1}))(case))),
+    (10, "a refused one in force", lambda audit_case: (audit_case.refusals.append((111.0, {"never": 1})), audit_case.unknowns.append(1),
+                                                  set_attribute("readBack", ("1.2", {"never": 1}))(audit_case))),
     (11, "not back in time", set_attribute("restored", [13.0])),
     (11, "not back at all", set_attribute("restored", [None])),
 ]
@@ -108,7 +108,7 @@
         nonlocal failed
         failed += got != wanted
         print(("ok    " if got == wanted else "WRONG ") + name + ("" if got == wanted else f": {got}"))
-    whole = verdicts_of(lambda case: None)
+    whole = verdicts_of(lambda audit_case: None)
     check("a good day", whole, ["held"] * 12)
     for lines, name, change in FAULTS:
         wanted = lines if isinstance(lines, tuple) else (lines,)
