--- a/test_support/capacity/cost_benchmark.cpp
+++ b/test_support/capacity/cost_benchmark.cpp
@@ -249,7 +249,7 @@
 
 // Servers answer within 5.6 to 10.4 ms, one answer in a thousand 100 ms later. One gateway sends 200 queries a second
 // and wants the answers of all shards.
-void measureTailLatency(std::size_t shards, double depth, std::uint64_t seed) {
+void measureTailLatency(std::size_t shards, double budgetDepth, std::uint64_t seed) {
   simulator::SimulatedNetwork network(seed);
   dispatch::Dispatcher dispatcher(dispatch::DispatchOptions{});
   std::vector<std::string> names;
@@ -278,7 +278,7 @@
       }
     }
   };
-  step(dispatch::FleetPosition{1300, 0, depth});
+  step(dispatch::FleetPosition{1300, 0, budgetDepth});
   for (std::size_t index = 0; index < shards; ++index) {
     names.push_back("p" + std::to_string(index));
     dispatch::ServersUpdated servers{names.back(), {}};
@@ -307,7 +307,8 @@
     step(dispatch::Tick{});
   }
   std::sort(tookMs.begin(), tookMs.end());
-  std::map<std::string, double> const parameters{{"shards", static_cast<double>(shards)}, {"budget_depth", depth}};
+  std::map<std::string, double> const parameters{{"shards", static_cast<double>(shards)},
+                                                 {"budget_depth", budgetDepth}};
   double const count = static_cast<double>(std::max<std::size_t>(1, answered));
   addSample("queries with all shards within 66 ms", parameters, "%", 100 * static_cast<double>(complete) / count);
   addSample("shards missing in a query", parameters, "", static_cast<double>(missing) / count);
@@ -476,25 +477,25 @@
 
 void measureStateRequest(std::size_t followers) {
   std::map<std::string, double> const parameters{{"followers", static_cast<double>(followers)}};
-  messages::StateRequest poll;
-  poll.token = 1'234'567;
-  poll.self = {"m1000", "10.1.0.1:7000", "z1", 3, 400};
-  poll.peerStatuses.push_back({"m1000", 1'234'567'890'123, false, {}});
+  messages::StateRequest request;
+  request.token = 1'234'567;
+  request.self = {"m1000", "10.1.0.1:7000", "z1", 3, 400};
+  request.peerStatuses.push_back({"m1000", 1'234'567'890'123, false, {}});
   for (std::size_t index = 0; index < followers; ++index) {
     std::string const name = "m" + std::to_string(1001 + index);
-    poll.followers.push_back({name, "10.1.0." + std::to_string(index + 2) + ":7000", "z1", 3, 400});
-    poll.peerStatuses.push_back({name, 1'234'567'890'123 + index, false, {}});
+    request.followers.push_back({name, "10.1.0." + std::to_string(index + 2) + ":7000", "z1", 3, 400});
+    request.peerStatuses.push_back({name, 1'234'567'890'123 + index, false, {}});
   }
   double const from = threadCpuUs();
   std::string encoded;
   for (int round = 0; round < 50; ++round) {
-    encoded = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", poll});
+    encoded = messages::encodeEnvelope({"fleet", "m1000", "10.1.0.1:7000", request});
   }
   double const between = threadCpuUs();
   for (int round = 0; round < 50; ++round) {
     absl::StatusOr<messages::PeerMessage> const received = messages::decodeEnvelope(encoded);
     if (!received.ok()) {
-      std::fprintf(stderr, "the poll does not decode\n");
+      std::fprintf(stderr, "the state request does not decode\n");
     }
   }
   addSample("size of a home's poll", parameters, "bytes", static_cast<double>(encoded.size()));
@@ -624,9 +625,9 @@
       }
     }
     for (std::size_t const shards : {4, 40, 400, 1200}) {
-      for (double const depth : {0.0, 3.0}) {
+      for (double const budgetDepth : {0.0, 3.0}) {
         if (only.empty() || only == "tail") {
-          measureTailLatency(shards, depth, round + 1);
+          measureTailLatency(shards, budgetDepth, round + 1);
         }
       }
     }
--- a/test_support/fault_injection_preload.cpp
+++ b/test_support/fault_injection_preload.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+/// Faults of this process, read from the file that FAULT_INJECTION names: one `key value` per line.
 struct Faults {
   long syncMs = 0;
   long stuck = 0;
@@ -56,6 +57,7 @@
   nanosleep(&span, nullptr);
 }
 
+/// Delays or blocks a sync as the faults demand; true, with errno set, if it must fail.
 bool syncFails() {
   Faults faults = readFaults();
   while (faults.stuck != 0) {
--- a/test_support/fault_proxy.cpp
+++ b/test_support/fault_proxy.cpp
@@ -17,6 +17,7 @@
 using namespace limeramp;
 using Clock = std::chrono::steady_clock;
 
+/// Forwards requests except over blocked links; a request over such a link stays unanswered for at least 3 s.
 struct FaultProxy {
   std::mutex mutex;
   std::set<std::pair<std::string, std::string>> blockedLinks;
--- a/test_support/stub_server.cpp
+++ b/test_support/stub_server.cpp
@@ -21,6 +21,7 @@
 using Clock = std::chrono::steady_clock;
 using Ms = std::chrono::milliseconds;
 
+/// How the server answers; the control request changes it.
 struct Behavior {
   double latencyMs = 8;
   double jitterMs = 6;
