--- a/libs/control/include/limeramp/control/config_service.h
+++ b/libs/control/include/limeramp/control/config_service.h
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-/// Carries out operators' orders: changes of the configuration, evacuation of zones, removal of nodes, and reads of the
-/// configuration. The service runs on every controller and accepts orders on the primary only. docs/control.md argues
-/// why its answers are linearizable.
+/// Carries out operators' orders: changes of the configuration, orders to evacuate zones, removal of nodes, and reads
+/// of the configuration. The service runs on every controller and accepts orders on the primary only. docs/control.md
+/// argues why its answers are linearizable.
 namespace limeramp::control {
 
 class OrderEvaluator;
